--- a/bench/capacity-mix/policies.ts
+++ b/bench/capacity-mix/policies.ts
@@ -1,5 +1,5 @@
 /** The planner's decisions and the ways of buying that they are measured against. */
-import { emptyDesiredState, emptyLearned, neededWork, noteRefusal, noteStart, observeReclaims, offerKey, plan, startOrderFor, withCapacity, withDemand, withRecomputed } from '../../src/capacity/index.js'
+import { emptyDesiredState, emptyLearned, neededWork, recordRefusal, clearRefusal, observeReclaims, offerKey, plan, startOrderFor, withCapacity, withDemand, withRecomputed } from '../../src/capacity/index.js'
 import type { DesiredState, Learned, Offer, OfferKey } from '../../src/capacity/index.js'
 import { MINUTE } from '../../src/clock.js'
 import type { InstanceName } from '../../src/identifiers.js'
@@ -57,10 +57,10 @@
       if (slot.state !== 'wanted' || slot.started || present.has(slot.name) || ended.has(slot.name) || refused.has(key)) continue
       const answer = look.cloud.start(startOrderFor(slot, 'bench'))
       if (answer.kind === 'ended') ended.add(slot.name)
-      if (answer.kind === 'started') learned = { ...learned, refusals: noteStart(learned.refusals, key) }
+      if (answer.kind === 'started') learned = { ...learned, refusals: clearRefusal(learned.refusals, key) }
       if (answer.kind !== 'refused') continue
       refused.add(key)
-      learned = { ...learned, refusals: noteRefusal(learned.refusals, key, look.now, random) }
+      learned = { ...learned, refusals: recordRefusal(learned.refusals, key, look.now, random) }
     }
     return refused.size > 0
   }
@@ -147,7 +147,7 @@
 }
 
 function needOf (look: Look): number {
-  return neededWork(look.demand, { quantile: 0.95, lead: LEAD })
+  return neededWork(look.demand, { quantile: 0.95, leadTime: LEAD })
 }
 
 function cheapest (deployment: BenchDeployment, offers: readonly Offer[]): Offer | undefined {
--- a/src/backpressure/departures.ts
+++ b/src/backpressure/departures.ts
@@ -1,9 +1,10 @@
 /**
- * Upstreams whose answers say that they leave.
+ * Upstream incarnations that have announced in a response that they are shutting down.
  *
- * Failure guarded against: a leaving upstream can't tell the store, which is away, and its record says 'ready' for as
- * long; it would get requests until it ends. What one node hears from it holds for all, and for good: a life that leaves
- * doesn't come back.
+ * Failure guarded against: while the store is unavailable, a departing upstream cannot update its record, so the
+ * record still says 'ready' and requests keep arriving until the process ends. The announcement is therefore also
+ * taken from responses and shared between nodes. It is never revoked, because an incarnation that starts to leave
+ * does not return.
  */
 import * as z from 'zod'
 import { SECOND } from '../clock.js'
@@ -11,53 +12,64 @@
 import { upstreamLifeSchema } from '../placement/index.js'
 import type { UpstreamLife } from '../placement/index.js'
 
-/** Lives that said to a node that they leave. */
-export const toldDeparturesSchema = z.array(upstreamLifeSchema)
-export type ToldDepartures = z.infer<typeof toldDeparturesSchema>
+/** Incarnations whose departure a node learnt from their own responses. */
+export const reportedDeparturesSchema = z.array(upstreamLifeSchema)
+export type ReportedDepartures = z.infer<typeof reportedDeparturesSchema>
 
-/** Departures as one node knows them. */
+/** The departures that one node knows of. */
 export interface Departures {
-  /** An answer has said so. @returns whether that is news */
-  heard (life: UpstreamLife, now: Milliseconds): boolean
-  has (life: UpstreamLife): boolean
-  /** What this node tells the others: what it heard itself. */
-  told (now: Milliseconds): ToldDepartures
-  /** What the others have told. @returns what is news */
-  observe (others: readonly ToldDepartures[]): UpstreamLife[]
+  /**
+   * Records that a response announced the departure.
+   *
+   * @returns whether the departure was not known before
+   */
+  heard (incarnation: UpstreamLife, now: Milliseconds): boolean
+  /** Whether the incarnation is known to be leaving. */
+  isLeaving (incarnation: UpstreamLife): boolean
+  /** Departures that this node learnt from responses within the last 30 seconds, to be reported to other nodes. */
+  told (now: Milliseconds): ReportedDepartures
+  /**
+   * Adds departures that other nodes have reported.
+   *
+   * @returns the incarnations that were not known before
+   */
+  observe (others: readonly ReportedDepartures[]): UpstreamLife[]
 }
 
-/** A departure isn't told any more after this time: each node that was there has heard of it. */
-const TOLD_FOR: Milliseconds = 30 * SECOND
+/** Time for which a node reports a departure. By the end of it every node that was present has received the report. */
+const REPORT_PERIOD: Milliseconds = 30 * SECOND
 
-/** Lives that are remembered; beyond it the ones that said so first are forgotten. */
-const MOST_LIVES = 1_000
+/** Maximum number of departures kept. The oldest ones are evicted beyond it. */
+const MAX_INCARNATIONS = 1_000
 
 /**
+ * Creates an empty set of departures.
+ *
  * @example
  * const departures = createDepartures()
- * departures.heard(upstream.life, clock.now())
+ * departures.heard(incarnation, clock.now())
  */
 export function createDepartures (): Departures {
-  const known = new Set<UpstreamLife>()
-  const own = new Map<UpstreamLife, Milliseconds>()
+  const leaving = new Set<UpstreamLife>()
+  const heardAt = new Map<UpstreamLife, Milliseconds>()
 
-  function add (life: UpstreamLife): boolean {
-    if (known.has(life)) return false
-    known.add(life)
-    const [oldest] = known
-    if (known.size > MOST_LIVES && oldest !== undefined) known.delete(oldest)
+  function add (incarnation: UpstreamLife): boolean {
+    if (leaving.has(incarnation)) return false
+    leaving.add(incarnation)
+    const [oldest] = leaving
+    if (leaving.size > MAX_INCARNATIONS && oldest !== undefined) leaving.delete(oldest)
     return true
   }
 
   return {
-    heard: (life, now) => {
-      if (!own.has(life)) own.set(life, now)
-      return add(life)
+    heard: (incarnation, now) => {
+      if (!heardAt.has(incarnation)) heardAt.set(incarnation, now)
+      return add(incarnation)
     },
-    has: (life) => known.has(life),
+    isLeaving: (incarnation) => leaving.has(incarnation),
     told: (now) => {
-      for (const [life, at] of own) if (now - at >= TOLD_FOR) own.delete(life)
-      return [...own.keys()]
+      for (const [incarnation, at] of heardAt) if (now - at >= REPORT_PERIOD) heardAt.delete(incarnation)
+      return [...heardAt.keys()]
     },
     observe: (others) => others.flat().filter(add)
   }
--- a/src/backpressure/pauses.ts
+++ b/src/backpressure/pauses.ts
@@ -1,28 +1,30 @@
-/** Upstreams that turned a request away and want nothing more from this node for a time that they named. */
+/** Pauses that upstreams request from this node when they refuse a request (Retry-After). */
 import type { Milliseconds } from '../clock.js'
 import type { UpstreamLife } from '../placement/index.js'
 
-/** Pauses that upstreams have asked of this node. */
+/** Pauses that upstreams have requested from this node. */
 export interface RequestedPauses {
-  /** It wants nothing more for so long. */
-  heard (life: UpstreamLife, retryAfter: Milliseconds, now: Milliseconds): void
-  /** Time until it wants requests again; 0 where it does now. */
-  wait (life: UpstreamLife, now: Milliseconds): Milliseconds
+  /** Records that the upstream wants no requests from this node for `retryAfter` milliseconds. */
+  heard (incarnation: UpstreamLife, retryAfter: Milliseconds, now: Milliseconds): void
+  /** Milliseconds until the upstream accepts requests from this node again. 0 if it does now. */
+  wait (incarnation: UpstreamLife, now: Milliseconds): Milliseconds
 }
 
 /**
+ * Creates a registry of requested pauses.
+ *
  * @example
  * const pauses = createRequestedPauses()
- * pauses.heard(upstream.life, 2_000, clock.now())
+ * pauses.heard(incarnation, 2_000, clock.now())
  */
 export function createRequestedPauses (): RequestedPauses {
   const ends = new Map<UpstreamLife, Milliseconds>()
   return {
-    heard: (life, retryAfter, now) => {
+    heard: (incarnation, retryAfter, now) => {
       for (const [known, end] of ends) if (end <= now) ends.delete(known)
-      // Answers may overtake each other: the longer of two pauses was asked for as well.
-      ends.set(life, Math.max(ends.get(life) ?? 0, now + retryAfter))
+      // Responses may arrive out of order, so the longer of two requested pauses applies.
+      ends.set(incarnation, Math.max(ends.get(incarnation) ?? 0, now + retryAfter))
     },
-    wait: (life, now) => Math.max(0, (ends.get(life) ?? 0) - now)
+    wait: (incarnation, now) => Math.max(0, (ends.get(incarnation) ?? 0) - now)
   }
 }
--- a/src/backpressure/rate-limits.ts
+++ b/src/backpressure/rate-limits.ts
@@ -1,8 +1,10 @@
 /**
- * Rate limits that upstreams name in their answers, kept by all nodes together without a message for each request.
+ * Rate limits that upstreams name in their responses, enforced by all nodes together without coordination per
+ * request.
  *
- * Each limit is dealt to few nodes by rendezvous hashing, and each of these keeps a pause between two requests. So the
- * sum holds in any window, and not only on average as it would where each of many nodes sends one request now and then.
+ * Each limit is assigned to a few nodes by rendezvous hashing, and each of these nodes keeps a minimum pause between
+ * two requests. The sum therefore stays below the limit in any window. If every node sent a request now and then, the
+ * limit would hold only on average.
  */
 import * as z from 'zod'
 import { SECOND } from '../clock.js'
@@ -11,221 +13,249 @@
 import { upstreamLifeSchema } from '../placement/index.js'
 import type { UpstreamLife } from '../placement/index.js'
 
-/** What a node last heard of the limits of upstreams, by their lives. */
-export const toldLimitsSchema = z.record(upstreamLifeSchema, z.object({
-  /** Requests a second; missing where the upstream names no limit any more. */
+/** Limits that a node has received from upstreams, by incarnation. Exchanged between nodes. */
+export const reportedLimitsSchema = z.record(upstreamLifeSchema, z.object({
+  /** Requests per second. Missing if the upstream no longer names a limit. */
   rate: z.number().optional(),
-  /** Since the answer came that says so, in milliseconds. */
+  /** Milliseconds since the response that named this limit was received. */
   age: z.number()
 }))
-export type ToldLimits = z.infer<typeof toldLimitsSchema>
+export type ReportedLimits = z.infer<typeof reportedLimitsSchema>
 
-/** What a node may send to an upstream that names a limit. */
-export interface Pace {
-  /** Requests a second that the upstream takes from all nodes. */
+/** Limit that applies to one node's requests to an upstream. */
+export interface NodeRateLimit {
+  /** Requests per second that the upstream accepts from all nodes together. */
   readonly rate: number
-  /** Least pause between two requests of this node; undefined where others have the whole limit. */
+  /** Minimum time between two requests of this node. Undefined if the whole limit is assigned to other nodes. */
   readonly pause: Milliseconds | undefined
 }
 
-/** A pace that is another than before; undefined where there is no limit any more. */
-export interface PaceChange {
-  readonly life: UpstreamLife
-  readonly pace: Pace | undefined
+/** A changed limit of one upstream. `limit` is undefined if the upstream has no limit any more. */
+export interface RateLimitChange {
+  readonly incarnation: UpstreamLife
+  readonly limit: NodeRateLimit | undefined
 }
 
-/** Limits as one node knows them. */
+/** The rate limits that one node knows of. */
 export interface RateLimits {
   /**
-   * An answer has named this limit, or none.
+   * Records the limit that a response named, or that it named none.
    *
-   * @param sentAt when its request was sent
+   * @param sentAt when the request of this response was sent
+   * @returns the change, or undefined if nothing changed for this node
    */
-  heard (life: UpstreamLife, rate: number | undefined, sentAt: Milliseconds, now: Milliseconds): PaceChange | undefined
-  /** What this node tells the others: what it heard itself. */
-  told (now: Milliseconds): ToldLimits
-  /** What the others have told. */
-  observe (others: readonly ToldLimits[], now: Milliseconds): PaceChange[]
-  /** Names of the nodes that may serve now, to which limits are dealt. */
-  deal (nodes: readonly string[], now: Milliseconds): PaceChange[]
-  /** Time until this node may send a request there; 0 when it may now. Where others have the whole limit, the time in which they send one. */
-  wait (life: UpstreamLife, now: Milliseconds): Milliseconds
-  allows (life: UpstreamLife, now: Milliseconds): boolean
-  /** This node sends a request there. */
-  taken (life: UpstreamLife, now: Milliseconds): void
-  /** Lives that name a limit now. */
+  heard (incarnation: UpstreamLife, rate: number | undefined, sentAt: Milliseconds, now: Milliseconds): RateLimitChange | undefined
+  /** Limits that this node learnt from responses within the last 30 seconds, to be reported to other nodes. */
+  told (now: Milliseconds): ReportedLimits
+  /**
+   * Merges limits that other nodes have reported.
+   *
+   * @returns the limits that changed for this node
+   */
+  observe (others: readonly ReportedLimits[], now: Milliseconds): RateLimitChange[]
+  /**
+   * Sets the nodes that may serve now, to which limits are assigned.
+   *
+   * @returns the limits that changed for this node
+   */
+  setNodes (nodes: readonly string[], now: Milliseconds): RateLimitChange[]
+  /**
+   * Milliseconds until this node may send a request to the upstream. 0 if it may now. If the whole limit is assigned
+   * to other nodes, at most the mean time between two of their requests.
+   */
+  wait (incarnation: UpstreamLife, now: Milliseconds): Milliseconds
+  /** Whether this node may send a request to the upstream now. */
+  allows (incarnation: UpstreamLife, now: Milliseconds): boolean
+  /** Records that this node sends a request to the upstream. */
+  taken (incarnation: UpstreamLife, now: Milliseconds): void
+  /** Incarnations that currently have a limit. */
   all (): readonly UpstreamLife[]
 }
 
 /**
- * Nodes that a small limit is dealt to: as many as may fall silent together without the upstream being left alone, and
- * few enough that one request of each, at the worst all in one moment, is no burst.
+ * Minimum number of nodes that a limit is assigned to. If some of them stop sending, the others keep using the
+ * upstream. The number is small enough that simultaneous requests of all of them are no burst.
  */
-const FEWEST_SENDERS = 4
+const MIN_SENDERS = 4
 
-/** An upstream that names no more than this is asked as seldom: otherwise nobody would hear that it takes more again. */
-const LEAST_RATE = 0.1
+/**
+ * Requests per second at which an upstream with a lower limit is still contacted. Otherwise no node would learn when
+ * the limit is raised.
+ */
+const MIN_RATE = 0.1
 
-/** What another node tells may be as old as this when it comes; what was heard here within it goes first. */
-const TOLD_LAG: Milliseconds = 3 * SECOND
+/**
+ * Maximum delay of a report from another node. The age in a report does not include this delay, so a report replaces
+ * a known limit only if it is newer by more than this.
+ */
+const MAX_REPORT_DELAY: Milliseconds = 3 * SECOND
 
 /**
- * Time without news of a limit, in requests that it allows and at least in milliseconds, from which on the other nodes try the
- * upstream in turn, with this part of the limit. Failure guarded against: its senders have no requests, nobody hears that it
- * names no limit any more, and it stands idle.
+ * If no response has named the limit for this many of its intervals, and for at least PROBE_AFTER, the nodes without
+ * a share may send a request in turn, at this fraction of the limit. Failure guarded against: the nodes with a share
+ * have no requests to send, so no node learns that the limit was lifted, and the upstream stays idle.
  */
-const UNHEARD_REQUESTS = 3
-const UNHEARD_AFTER: Milliseconds = 10 * SECOND
-const UNHEARD_PART = 0.1
+const PROBE_AFTER_REQUESTS = 3
+const PROBE_AFTER: Milliseconds = 10 * SECOND
+const PROBE_FRACTION = 0.1
 
-/** An answer that is older isn't told any more: each node has heard of it by then. */
-const TOLD_FOR: Milliseconds = 30 * SECOND
+/** Time for which a node reports a limit. By the end of it every node has received the report. */
+const REPORT_PERIOD: Milliseconds = 30 * SECOND
 
 /**
- * A node that is gone keeps its part for so long. Failure guarded against: all records of nodes lapse with the store and come
- * back one by one; each node would see few others, take a part, and all together would have many times the limit.
+ * Time for which a vanished node keeps its share of the limits. Failure guarded against: when the store fails, the
+ * records of all nodes expire and come back one by one. Each node would see only a few others and take a share on
+ * that basis, and the shares would add up to several times the limit.
  */
-const DEPARTED_FOR: Milliseconds = 6 * SECOND
+const NODE_RETENTION: Milliseconds = 6 * SECOND
 
-/** Lives whose limit is remembered; beyond it the ones longest without news are forgotten. */
-const MOST_LIVES = 1_000
+/** Maximum number of limits kept. The least recently updated ones are evicted beyond it. */
+const MAX_INCARNATIONS = 1_000
 
-/** What was last heard of one upstream's limit. */
+/** The last known limit of one upstream incarnation. */
 interface KnownLimit {
-  /** Requests a second; undefined once the upstream names none any more. */
+  /** Requests per second. Undefined once the upstream names no limit any more. */
   readonly rate: number | undefined
-  /** When the answer came that says so. */
+  /** When the response that named the limit was received. */
   readonly at: Milliseconds
-  /** This node heard it from the upstream itself. */
-  readonly isOwn: boolean
-  /** Least pause between two requests of this node; undefined where it sends none, or there is no limit. */
+  /** Whether this node received that response itself, rather than a report from another node. */
+  readonly isDirect: boolean
+  /** Minimum time between two requests of this node. Undefined if the node has no share, or if there is no limit. */
   readonly pause: Milliseconds | undefined
-  /** Place among the nodes in the order of this upstream; undefined while this node isn't known to be one. */
+  /** Rank of this node in the rendezvous order for this upstream. Undefined while this node is not in the list of nodes. */
   readonly rank: number | undefined
-  /** When this node began to be one of the senders. */
+  /** Since when this node has had a share. */
   readonly since: Milliseconds
-  /** When this node last sent a request. */
+  /** When this node last sent a request to the upstream. */
   lastSent: Milliseconds
 }
 
 /**
+ * Creates the rate limits of one node.
+ *
  * @param node name of this node
  * @example
  * const limits = createRateLimits('entry-1')
- * limits.deal(['entry-1', 'entry-2'], clock.now())
- * limits.heard(upstream.life, 2, sentAt, clock.now())
- * limits.allows(upstream.life, clock.now())
+ * limits.setNodes(['entry-1', 'entry-2'], clock.now())
+ * limits.heard(incarnation, 2, sentAt, clock.now())
+ * limits.allows(incarnation, clock.now())
  */
 export function createRateLimits (node: string): RateLimits {
   const limits = new Map<UpstreamLife, KnownLimit>()
-  const seen = new Map<string, Milliseconds>()
+  const lastSeen = new Map<string, Milliseconds>()
   let nodes: readonly string[] = []
 
-  function put (life: UpstreamLife, rate: number | undefined, at: Milliseconds, isOwn: boolean, now: Milliseconds): PaceChange | undefined {
-    const known = limits.get(life)
-    const rank = rankAt(life)
-    const pause = rate === undefined || rank === undefined ? undefined : pauseOf(rate, rank)
-    // A node that begins to keep a limit waits for a whole pause: it sent without one until now.
+  function updateLimit (incarnation: UpstreamLife, rate: number | undefined, at: Milliseconds, isDirect: boolean, now: Milliseconds): RateLimitChange | undefined {
+    const known = limits.get(incarnation)
+    const rank = rankFor(incarnation)
+    const pause = rate === undefined || rank === undefined ? undefined : pauseFor(rate, rank)
+    // A newly assigned node waits for one whole pause first, because it was sending without a limit until now.
     const since = known?.pause === undefined ? now : known.since
-    limits.delete(life)
-    limits.set(life, { rate, at, isOwn, pause, rank, since, lastSent: known?.lastSent ?? -Infinity })
-    forgetOldest()
-    return known?.rate === rate && known?.pause === pause ? undefined : { life, pace: rate === undefined ? undefined : { rate, pause } }
+    limits.delete(incarnation)
+    limits.set(incarnation, { rate, at, isDirect, pause, rank, since, lastSent: known?.lastSent ?? -Infinity })
+    evictOldest()
+    return known?.rate === rate && known?.pause === pause ? undefined : { incarnation, limit: rate === undefined ? undefined : { rate, pause } }
   }
 
-  function forgetOldest (): void {
+  function evictOldest (): void {
     const [oldest] = limits.keys()
-    if (limits.size > MOST_LIVES && oldest !== undefined) limits.delete(oldest)
+    if (limits.size > MAX_INCARNATIONS && oldest !== undefined) limits.delete(oldest)
   }
 
-  function rankAt (life: UpstreamLife): number | undefined {
+  function rankFor (incarnation: UpstreamLife): number | undefined {
     if (!nodes.includes(node)) return undefined
-    const own = score(life, node)
-    return nodes.filter((name) => name !== node && score(life, name) > own).length
+    const ownScore = score(incarnation, node)
+    return nodes.filter((name) => name !== node && score(incarnation, name) > ownScore).length
   }
 
-  function pauseOf (rate: number, rank: number): Milliseconds | undefined {
-    const senders = Math.min(nodes.length, FEWEST_SENDERS + Math.floor(rate))
-    return rank < senders ? senders * meanPause(rate) : undefined
+  function pauseFor (rate: number, rank: number): Milliseconds | undefined {
+    const senders = Math.min(nodes.length, MIN_SENDERS + Math.floor(rate))
+    return rank < senders ? senders * meanInterval(rate) : undefined
   }
 
-  /** When this node may send a request next. */
-  function nextAt ({ rate, at, pause, rank, since, lastSent }: KnownLimit): Milliseconds {
+  /** Time from which this node may send its next request. */
+  function nextAttemptAt ({ rate, at, pause, rank, since, lastSent }: KnownLimit): Milliseconds {
     if (rate === undefined) return -Infinity
     if (pause !== undefined) return Math.max(since, lastSent) + pause
     if (rank === undefined) return Infinity
-    const turn = meanPause(rate) / UNHEARD_PART
-    const unheard = at + Math.max(UNHEARD_AFTER, UNHEARD_REQUESTS * meanPause(rate))
-    return Math.max(unheard + rank * turn, lastSent + nodes.length * turn)
+    const probeInterval = meanInterval(rate) / PROBE_FRACTION
+    const probeFrom = at + Math.max(PROBE_AFTER, PROBE_AFTER_REQUESTS * meanInterval(rate))
+    return Math.max(probeFrom + rank * probeInterval, lastSent + nodes.length * probeInterval)
   }
 
-  /** Where others have the whole limit, a caller that comes back meets one of them as soon as they may send. */
-  function wait (life: UpstreamLife, now: Milliseconds): Milliseconds {
-    const limit = limits.get(life)
+  /**
+   * If the whole limit is assigned to other nodes, a caller that retries after the mean interval reaches one of them
+   * when it may send.
+   */
+  function wait (incarnation: UpstreamLife, now: Milliseconds): Milliseconds {
+    const limit = limits.get(incarnation)
     if (limit?.rate === undefined) return 0
-    const own = Math.max(0, nextAt(limit) - now)
-    return limit.pause === undefined ? Math.min(own, meanPause(limit.rate)) : own
+    const ownWait = Math.max(0, nextAttemptAt(limit) - now)
+    return limit.pause === undefined ? Math.min(ownWait, meanInterval(limit.rate)) : ownWait
   }
 
   return {
-    heard: (life, rate, sentAt, now) => {
-      const known = limits.get(life)
+    heard: (incarnation, rate, sentAt, now) => {
+      const known = limits.get(incarnation)
       if (rate === undefined && known === undefined) return undefined
-      // Failure guarded against: an answer from before the limit comes late, and the limit would be taken for lifted.
+      // Failure guarded against: a delayed response to a request that was sent before the limit was named does not
+      // name it, and the limit would be taken as lifted.
       if (rate === undefined && known?.rate !== undefined && sentAt < known.at) return undefined
-      return put(life, rate, now, true, now)
+      return updateLimit(incarnation, rate, now, true, now)
     },
     told: (now) => Object.fromEntries([...limits]
-      .filter(([, { isOwn, at }]) => isOwn && now - at < TOLD_FOR)
-      .map(([life, { rate, at }]) => [life, { rate, age: Math.round(now - at) }])),
+      .filter(([, { isDirect, at }]) => isDirect && now - at < REPORT_PERIOD)
+      .map(([incarnation, { rate, at }]) => [incarnation, { rate, age: Math.round(now - at) }])),
     observe: (others, now) => {
-      const changes: (PaceChange | undefined)[] = []
-      for (const told of others) {
-        for (const [name, { rate, age }] of Object.entries(told)) {
-          const life = name as UpstreamLife
-          const known = limits.get(life)
-          const isNews = known === undefined ? rate !== undefined : now - age > known.at + TOLD_LAG
-          if (isNews) changes.push(put(life, rate, now - age, false, now))
+      const changes: (RateLimitChange | undefined)[] = []
+      for (const report of others) {
+        for (const [name, { rate, age }] of Object.entries(report)) {
+          const incarnation = name as UpstreamLife
+          const known = limits.get(incarnation)
+          const isNewer = known === undefined ? rate !== undefined : now - age > known.at + MAX_REPORT_DELAY
+          if (isNewer) changes.push(updateLimit(incarnation, rate, now - age, false, now))
         }
       }
       return changes.filter((change) => change !== undefined)
     },
-    deal: (present, now) => {
-      for (const name of present) seen.set(name, now)
-      for (const [name, at] of seen) if (now - at > DEPARTED_FOR) seen.delete(name)
-      if (nodes.length === seen.size && nodes.every((name) => seen.has(name))) return []
-      nodes = [...seen.keys()]
-      return [...limits].map(([life, { rate, at, isOwn }]) => put(life, rate, at, isOwn, now)).filter((change) => change !== undefined)
+    setNodes: (current, now) => {
+      for (const name of current) lastSeen.set(name, now)
+      for (const [name, at] of lastSeen) if (now - at > NODE_RETENTION) lastSeen.delete(name)
+      if (nodes.length === lastSeen.size && nodes.every((name) => lastSeen.has(name))) return []
+      nodes = [...lastSeen.keys()]
+      return [...limits].map(([incarnation, { rate, at, isDirect }]) => updateLimit(incarnation, rate, at, isDirect, now)).filter((change) => change !== undefined)
     },
     wait,
-    allows: (life, now) => {
-      const limit = limits.get(life)
-      return limit === undefined || now >= nextAt(limit)
+    allows: (incarnation, now) => {
+      const limit = limits.get(incarnation)
+      return limit === undefined || now >= nextAttemptAt(limit)
     },
-    taken: (life, now) => {
-      const limit = limits.get(life)
+    taken: (incarnation, now) => {
+      const limit = limits.get(incarnation)
       if (limit !== undefined) limit.lastSent = now
     },
-    all: () => [...limits].filter(([, { rate }]) => rate !== undefined).map(([life]) => life)
+    all: () => [...limits].filter(([, { rate }]) => rate !== undefined).map(([incarnation]) => incarnation)
   }
 }
 
 /**
- * @param told by different nodes
- * @returns what was heard last of each life
+ * Merges the reports of several nodes.
+ *
+ * @param reports limits as reported by different nodes
+ * @returns the most recent limit of each incarnation
  * @example
- * mergeLimits([{ [life]: { rate: 1, age: 900 } }, { [life]: { age: 100 } }]) // no limit any more
+ * mergeLimits([{ [incarnation]: { rate: 1, age: 900 } }, { [incarnation]: { age: 100 } }]) // no limit any more
  */
-export function mergeLimits (told: readonly ToldLimits[]): ToldLimits {
-  const merged: ToldLimits = {}
-  for (const [name, limit] of told.flatMap((one) => Object.entries(one))) {
-    const life = name as UpstreamLife
-    const known = merged[life]
-    if (known === undefined || limit.age < known.age) merged[life] = limit
+export function mergeLimits (reports: readonly ReportedLimits[]): ReportedLimits {
+  const merged: ReportedLimits = {}
+  for (const [name, limit] of reports.flatMap((report) => Object.entries(report))) {
+    const incarnation = name as UpstreamLife
+    const known = merged[incarnation]
+    if (known === undefined || limit.age < known.age) merged[incarnation] = limit
   }
   return merged
 }
 
-function meanPause (rate: number): Milliseconds {
-  return SECOND / Math.max(LEAST_RATE, rate)
+function meanInterval (rate: number): Milliseconds {
+  return SECOND / Math.max(MIN_RATE, rate)
 }
--- a/src/backpressure/types.ts
+++ b/src/backpressure/types.ts
@@ -1,12 +1,15 @@
-/** What an upstream's answers say of the upstream itself. */
+/** Signals about an upstream's state that are carried in the headers of its responses. */
 import type { Milliseconds } from '../clock.js'
 
-/** What the head of one answer asks of those who send to the upstream. */
+/** Back-pressure signals in the headers of one response. */
 export interface UpstreamSignals {
-  /** It is leaving and wants nothing new. */
+  /** Whether the upstream is shutting down and accepts no new requests. */
   readonly leaving: boolean
-  /** Requests a second that it takes from all nodes together; undefined where the answer names no limit. */
+  /** Requests per second that the upstream accepts from all nodes together. Undefined if the response names no limit. */
   readonly rateLimit: number | undefined
-  /** It has turned this request away and wants nothing more from this node for so long. */
+  /**
+   * Time in milliseconds for which this node must send no further requests, given when the upstream refused this
+   * request.
+   */
   readonly retryAfter: Milliseconds | undefined
 }
--- a/src/capacity/demand.ts
+++ b/src/capacity/demand.ts
@@ -1,51 +1,51 @@
 /**
- * How much work a service will be offered, learnt from what was observed.
+ * Forecast of the work offered to a service, based on observed demand.
  *
- * Work is counted in tokens for services of kind `model` and in requests for plain ones. Times are
- * wall times, since a successor on another instance goes on from what is kept here; the monotonic
- * clocks of two processes have nothing in common. A jump of the clock costs one sample.
+ * Work is counted in tokens for services of kind `model` and in requests for plain services. Times are wall times,
+ * because a planner on another instance continues from the stored values and the monotonic clocks of two processes
+ * are unrelated. A jump of the wall clock distorts one sample.
  */
 import * as z from 'zod'
 import { MINUTE, SECOND } from '../clock.js'
 import type { Milliseconds } from '../clock.js'
 
-/** What was offered of late. */
+/** One observation of the offered load. */
 export interface DemandSample {
   readonly at: Milliseconds
   readonly requestsPerSecond: number
   readonly workPerSecond: number
 }
 
-/** A smoothed demand with its trend and how much it varies; all rates a second. */
+/** Smoothed demand with its trend and deviation. All rates are per second. */
 export const demandSchema = z.object({
   at: z.number(),
-  /** Wall time of the first sample. */
+  /** Wall time of the first sample, in milliseconds. */
   since: z.number(),
   requestsPerSecond: z.number(),
   workPerSecond: z.number(),
-  /** Change of the work a second, a second. */
+  /** Change of the work rate, per second. */
   trend: z.number(),
-  /** Mean absolute error of the forecasts so far. */
+  /** Mean absolute error of the forecasts. */
   deviation: z.number()
 })
 export type Demand = z.infer<typeof demandSchema>
 
-/** What the next minutes must be able to carry. */
-export interface NeedOptions {
-  /** Share of answers that must be within target: the strictest class's. */
+/** Parameters of the demand forecast. */
+export interface DemandForecastOptions {
+  /** Fraction of responses that must meet their target. The strictest class determines it. */
   readonly quantile: number
-  /** Time until capacity ordered now serves, in milliseconds. */
-  readonly lead: Milliseconds
+  /** Time until capacity ordered now serves requests, in milliseconds. */
+  readonly leadTime: Milliseconds
 }
 
-/** Time over which an old observation loses half of its weight. */
+/** Time after which an observation has half its weight. */
 const HALF_LIFE: Milliseconds = 2 * MINUTE
 
 /** Ratio of a normal distribution's standard deviation to its mean absolute deviation. */
-const DEVIATION_TO_SIGMA = Math.sqrt(Math.PI / 2)
+const DEVIATION_TO_SIGMA_RATIO = Math.sqrt(Math.PI / 2)
 
 /**
- * Takes a sample into the smoothed demand (exponential smoothing with a trend).
+ * Adds a sample to the smoothed demand (double exponential smoothing).
  *
  * @example
  * const demand = observeDemand(undefined, sample)
@@ -69,20 +69,20 @@
 }
 
 /**
- * Work a second that must be served within targets until new capacity could be ready: the level,
- * its growth meanwhile, and a margin for its variation that follows from the classes' quantile.
+ * Work per second that must be served within targets until new capacity is ready: the current level, its expected
+ * growth, and a safety margin for its variation at the required quantile.
  *
  * @example
  * neededWork(demand, { quantile: 0.95, lead: 3 * MINUTE })
  */
-export function neededWork (demand: Demand, options: NeedOptions): number {
-  const growth = Math.max(0, demand.trend) * options.lead / SECOND
-  const margin = Math.max(0, normalQuantile(options.quantile)) * demand.deviation * DEVIATION_TO_SIGMA
+export function neededWork (demand: Demand, options: DemandForecastOptions): number {
+  const growth = Math.max(0, demand.trend) * options.leadTime / SECOND
+  const margin = Math.max(0, normalQuantile(options.quantile)) * demand.deviation * DEVIATION_TO_SIGMA_RATIO
   return demand.workPerSecond + growth + margin
 }
 
 /**
- * Quantile of the standard normal distribution, to three digits (Winitzki's approximation).
+ * Quantile of the standard normal distribution, accurate to three digits (Winitzki's approximation).
  *
  * @example
  * normalQuantile(0.95) // about 1.645
--- a/src/capacity/desired-state.ts
+++ b/src/capacity/desired-state.ts
@@ -1,11 +1,11 @@
 /**
- * What the planner wants: one value in the key-value service, changed by compare-and-swap under the
- * lease's fencing number.
+ * The planner's desired state: one value in the key-value service, changed by compare-and-swap under the fencing
+ * number of the lease.
  *
- * Two rules make late or repeated orders harmless, whoever sends them. Each instance's name comes
- * from the generation that first wanted it, and is never used again. And a name only moves forward:
- * wanted, leaving, released. A start order sent twice finds the first instance; a release order is
- * only ever sent for a name that nobody will want again.
+ * Two rules make late or repeated orders harmless, whichever planner sends them. First, an instance's name contains
+ * the generation that first wanted it and is never reused. Second, the state of a slot only advances from wanted to
+ * leaving to released. A repeated start order therefore finds the existing instance, and a release order is sent only
+ * for a name that is never wanted again.
  */
 import * as z from 'zod'
 import { instanceNameSchema, serviceNameSchema } from '../identifiers.js'
@@ -17,21 +17,21 @@
 export const slotSchema = z.object({
   name: instanceNameSchema,
   service: serviceNameSchema,
-  /** Where it is wanted; it may change until the instance has started. */
+  /** Offer that the instance is ordered from. It may change until the instance has started. */
   offer: offerIdentitySchema,
   state: z.enum(['wanted', 'leaving', 'released']),
   /** Wall time of the last change of state, in milliseconds. */
   since: z.number(),
-  /** Whether the cloud has been seen to have it. */
+  /** Whether the cloud has listed the instance. */
   started: z.boolean(),
   reason: z.enum(['mix', 'reclaim', 'ended'])
 })
 export type Slot = z.infer<typeof slotSchema>
 
-/** What the engines of a service must serve, and since which generation. */
+/** What the engines of a service must serve, and the generation that ordered it. */
 export const serviceOrderSchema = z.object({
   service: serviceNameSchema,
-  /** Rises with every change of this service's order, and only then. */
+  /** Increases with every change of this service's order, and only then. */
   generation: z.number().int().positive(),
   model: z.string(),
   version: z.string(),
@@ -40,22 +40,22 @@
 })
 export type ServiceOrder = z.infer<typeof serviceOrderSchema>
 
-/** The mix chosen for a service, towards which its slots are brought. */
+/** The mix of instances chosen for a service. Its slots are adjusted towards this mix. */
 export const chosenMixSchema = z.object({
   service: serviceNameSchema,
-  /** Work a second for which it was chosen. */
+  /** Work per second for which the mix was chosen. */
   need: z.number().nonnegative(),
   instances: z.array(offerIdentitySchema.extend({ count: z.number().int().nonnegative() })),
-  /** Wall time since when a cheaper mix has been seen without pause; undefined when there is none. */
+  /** Wall time since which a cheaper mix has been available without interruption. Undefined if there is none. */
   cheaperSince: z.number().optional()
 })
 export type ChosenMix = z.infer<typeof chosenMixSchema>
 
-/** The whole desired state. */
+/** The complete desired state. */
 export const desiredStateSchema = z.object({
-  /** Fencing number of the lease under which it was written. */
+  /** Fencing number of the lease under which the state was written. */
   fencing: z.number().int().nonnegative(),
-  /** Strictly rising by one. */
+  /** Increases with every change of the state. */
   generation: z.number().int().nonnegative(),
   mixes: z.array(chosenMixSchema),
   slots: z.array(slotSchema),
@@ -63,18 +63,18 @@
 })
 export type DesiredState = z.infer<typeof desiredStateSchema>
 
-/** What engines of a service should serve, before it has a generation. */
+/** What the engines of a service should serve, without a generation. */
 export type WantedOrder = Omit<ServiceOrder, 'generation'>
 
-/** Longest part of a service's name in an instance's name. */
-const LONGEST_PREFIX = 36
+/** Maximum number of characters of the service's name in an instance's name. */
+const MAX_PREFIX_LENGTH = 36
 
 const RADIX = 36
 
-const MINTED_NAME = /-g([0-9a-z]+)-s[0-9a-z]+$/
+const INSTANCE_NAME_PATTERN = /-g([0-9a-z]+)-s[0-9a-z]+$/
 
 /**
- * Desired state before anything was wanted.
+ * Desired state in which nothing has been wanted yet.
  *
  * @example
  * const state = emptyDesiredState()
@@ -84,31 +84,31 @@
 }
 
 /**
- * Name of the instance for a need.
+ * Creates the name of a new instance.
  *
- * @param generation generation that first wants it
- * @param index number of the need within that generation, over all services
+ * @param generation generation that first wants the instance
+ * @param index index of the instance within that generation, over all services
  * @example
- * mintName(service, 12, 3) // 'assistant-gc-s3'
+ * createInstanceName(service, 12, 3) // 'assistant-gc-s3'
  */
-export function mintName (service: ServiceName, generation: number, index: number): InstanceName {
-  return instanceNameSchema.parse(`${service.slice(0, LONGEST_PREFIX)}-g${generation.toString(RADIX)}-s${index.toString(RADIX)}`)
+export function createInstanceName (service: ServiceName, generation: number, index: number): InstanceName {
+  return instanceNameSchema.parse(`${service.slice(0, MAX_PREFIX_LENGTH)}-g${generation.toString(RADIX)}-s${index.toString(RADIX)}`)
 }
 
 /**
- * Generation that minted a name.
+ * Generation contained in an instance's name.
  *
- * @returns undefined for a name that the planner did not mint
+ * @returns undefined for a name that the planner did not create
  * @example
- * mintedBy(instanceNameSchema.parse('assistant-gc-s3')) // 12
+ * generationOfName(instanceNameSchema.parse('assistant-gc-s3')) // 12
  */
-export function mintedBy (name: InstanceName): number | undefined {
-  const match = MINTED_NAME.exec(name)
+export function generationOfName (name: InstanceName): number | undefined {
+  const match = INSTANCE_NAME_PATTERN.exec(name)
   return match?.[1] === undefined ? undefined : Number.parseInt(match[1], RADIX)
 }
 
 /**
- * Order for a slot's instance.
+ * Start order for a slot's instance.
  *
  * @example
  * await cloud.start(startOrderFor(slot, 'hillside'))
@@ -118,8 +118,8 @@
 }
 
 /**
- * Takes the services' orders into the state. A service whose order is unchanged keeps its
- * generation, so that engines which already obeyed it have nothing to do.
+ * Assigns generations to the wanted orders of the services. An unchanged order keeps its generation, so that engines
+ * which already follow it need not act.
  *
  * @param generation generation of the state that is being made
  * @example
--- a/src/capacity/history.ts
+++ b/src/capacity/history.ts
@@ -1,36 +1,36 @@
-/** What the planner did and why, for operators: a bounded list in the key-value service. */
+/** Log of the planner's actions and their reasons for operators: a bounded list in the key-value service. */
 import * as z from 'zod'
 import { failureDomainSchema, instanceNameSchema, serviceNameSchema } from '../identifiers.js'
 import { offerIdentitySchema } from './types.js'
 
 const count = z.number().int().nonnegative()
 
-/** One thing that the planner did or found. */
+/** One action or finding of the planner. */
 export const plannerEventSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('lease-taken'), fencing: count }),
-  /** Another mix was chosen for a service. */
+  /** The chosen mix of a service has changed. */
   z.object({
     kind: z.literal('mix'),
     service: serviceNameSchema,
-    /** Work a second to be served. */
+    /** Work per second to be served. */
     need: z.number(),
     costPerHour: z.number(),
     instances: z.array(offerIdentitySchema.extend({ count }))
   }),
-  /** Instances of a service changed their state. */
+  /** Numbers of instances of a service that changed their state. */
   z.object({ kind: z.literal('instances'), service: serviceNameSchema, wanted: count, reclaimed: count, draining: count, released: count }),
   z.object({ kind: z.literal('start-refused'), service: serviceNameSchema, offer: offerIdentitySchema, reason: z.string() }),
-  /** Which of the deployment's targets gives; ratios above 1 are missed. */
+  /** Which of the deployment's targets are exceeded. A ratio above 1 misses its target. */
   z.object({ kind: z.literal('targets'), costRatio: z.number(), recomputedRatio: z.number(), gives: z.enum(['nothing', 'cost', 'recomputed', 'both']) }),
-  /** Losses after which the class targets of a service could not be met, with what can be had at present. */
+  /** Losses after which the class targets of a service could not be met with the capacity available at present. */
   z.object({ kind: z.literal('not-survivable'), service: serviceNameSchema, losses: z.array(z.array(failureDomainSchema)) }),
   z.object({ kind: z.literal('order'), service: serviceNameSchema, model: z.string(), generation: count }),
-  /** An instance that nobody wants, started by an order that came late; it was released. */
+  /** An instance that is not wanted and was started by a late order. It was released. */
   z.object({ kind: z.literal('stray'), instance: instanceNameSchema })
 ])
 export type PlannerEvent = z.infer<typeof plannerEventSchema>
 
-/** The list as it is kept; the newest event is last. */
+/** The stored list. The newest event is last. */
 export const plannerHistorySchema = z.object({
   events: z.array(z.object({
     /** Wall time, in milliseconds. */
@@ -40,22 +40,22 @@
 })
 export type PlannerHistory = z.infer<typeof plannerHistorySchema>
 
-/** Events kept. */
-const LONGEST_HISTORY = 200
+/** Maximum number of events kept. */
+const MAX_EVENTS = 200
 
 /**
- * Appends events; the oldest go.
+ * Appends events and drops the oldest ones beyond the limit.
  *
  * @param now wall time, in milliseconds
  * @example
  * const next = withEvents(history, events, clock.wall())
  */
 export function withEvents (history: PlannerHistory, events: readonly PlannerEvent[], now: number): PlannerHistory {
-  return { events: [...history.events, ...events.map((event) => ({ at: now, event }))].slice(-LONGEST_HISTORY) }
+  return { events: [...history.events, ...events.map((event) => ({ at: now, event }))].slice(-MAX_EVENTS) }
 }
 
 /**
- * One event as a line for people.
+ * Describes an event in one line of text.
  *
  * @example
  * describeEvent({ kind: 'lease-taken', fencing: 7 }) // 'a planner took the lease, fencing number 7'
--- a/src/capacity/learned.ts
+++ b/src/capacity/learned.ts
@@ -1,4 +1,7 @@
-/** What the planner has learnt, kept for its successor: one value in the key-value service, of bounded size. */
+/**
+ * State that the planner has learnt and its successor continues from: one value of bounded size in the key-value
+ * service.
+ */
 import * as z from 'zod'
 import { serviceNameSchema } from '../identifiers.js'
 import type { ServiceName } from '../identifiers.js'
@@ -9,20 +12,25 @@
 import { emptyReclaimHistory, reclaimHistorySchema } from './reclaim-history.js'
 import { refusalSchema } from './refusals.js'
 
-/** What the planner has learned: demand, capacities, reclaims and refusals. */
+/** Learnt demands, capacities, reclaims and refusals. */
 export const learnedSchema = z.object({
   demands: z.array(z.object({ service: serviceNameSchema, demand: demandSchema })),
   capacities: z.array(z.object({ service: serviceNameSchema, machineClass: z.string(), capacity: instanceCapacitySchema })),
-  /** Tokens computed again, and the work a second that reclaims took, as decayed sums: the tokens are reported minutes later. */
+  /**
+   * Recomputed tokens, and the work per second lost to reclaims. Both are exponentially decayed sums, because the
+   * tokens are reported minutes after the reclaim.
+   */
   recomputed: z.array(z.object({ service: serviceNameSchema, tokens: z.number().nonnegative(), lostWork: z.number().nonnegative() })),
   reclaims: reclaimHistorySchema,
   refusals: z.array(refusalSchema),
-  /** Wall time up to which the cost of instances was counted for the reports. */
+  /** Wall time up to which the cost of instances has been counted for the reports. */
   countedUntil: z.number()
 })
 export type Learned = z.infer<typeof learnedSchema>
 
 /**
+ * Creates an empty state.
+ *
  * @param now wall time, in milliseconds
  * @example
  * const learned = emptyLearned(clock.wall())
@@ -32,6 +40,9 @@
 }
 
 /**
+ * Learnt demand of a service.
+ *
+ * @returns undefined before the first sample
  * @example
  * const demand = demandOf(learned, service)
  */
@@ -40,6 +51,8 @@
 }
 
 /**
+ * Replaces the learnt demand of a service.
+ *
  * @example
  * const next = withDemand(learned, service, observeDemand(demandOf(learned, service), sample))
  */
@@ -48,14 +61,19 @@
 }
 
 /**
+ * Learnt capacity of a machine class for a service.
+ *
+ * @returns undefined before the first sample
  * @example
- * const known = capacityKnown(learned, service, 'large')
+ * const known = learnedCapacity(learned, service, 'large')
  */
-export function capacityKnown (learned: Learned, service: ServiceName, machineClass: string): InstanceCapacity | undefined {
+export function learnedCapacity (learned: Learned, service: ServiceName, machineClass: string): InstanceCapacity | undefined {
   return learned.capacities.find((entry) => entry.service === service && entry.machineClass === machineClass)?.capacity
 }
 
 /**
+ * Replaces the learnt capacity of a machine class for a service.
+ *
  * @example
  * const next = withCapacity(learned, service, 'large', learnCapacity(known, sample))
  */
@@ -64,37 +82,37 @@
   return { ...learned, capacities: [...others, { service, machineClass, capacity }] }
 }
 
-/** Work a second that the estimate from before any reclaim counts for: about one instance's. */
-const PRIOR_WORK = 1_000
+/** Weight of the prior estimate, in units of lost work per second. It equals about one instance. */
+const PRIOR_LOST_WORK = 1_000
 
-/** Weight that earlier reclaims keep when one more is seen. */
-const DECAY = 0.9
+/** Factor applied to the weight of earlier reclaims with each new one. */
+const RECLAIM_DECAY = 0.9
 
 /**
- * Tokens computed again for each unit of work a second that a reclaim takes.
+ * Recomputed tokens for each unit of work per second that a reclaim removes.
  *
- * @param prior estimate from before any reclaim was seen
+ * @param prior estimate used before any reclaim was observed
  * @example
  * const perLostWork = recomputedPerLostWork(learned, service, 40)
  */
 export function recomputedPerLostWork (learned: Learned, service: ServiceName, prior: number): number {
   const known = learned.recomputed.find((entry) => entry.service === service)
   if (known === undefined) return prior
-  return (known.tokens + prior * PRIOR_WORK) / (known.lostWork + PRIOR_WORK)
+  return (known.tokens + prior * PRIOR_LOST_WORK) / (known.lostWork + PRIOR_LOST_WORK)
 }
 
 /**
- * Learns what reclaims made engines compute again. Tokens and reclaims need not come together.
+ * Records recomputed tokens and reclaims. The two need not be reported together.
  *
  * @param tokens recomputed tokens since the last call
- * @param lost capacity of each instance that was taken back since the last call, work a second
+ * @param lost capacity of each instance reclaimed since the last call, in work per second
  * @example
  * const next = withRecomputed(learned, service, 24_000, [600, 600])
  */
 export function withRecomputed (learned: Learned, service: ServiceName, tokens: number, lost: readonly number[]): Learned {
   if (tokens === 0 && lost.length === 0) return learned
   const known = learned.recomputed.find((entry) => entry.service === service) ?? { tokens: 0, lostWork: 0 }
-  const kept = DECAY ** lost.length
-  const entry = { service, tokens: known.tokens * kept + tokens, lostWork: lost.reduce((sum, work) => sum + work, known.lostWork * kept) }
-  return { ...learned, recomputed: [...learned.recomputed.filter((one) => one.service !== service), entry] }
+  const retained = RECLAIM_DECAY ** lost.length
+  const entry = { service, tokens: known.tokens * retained + tokens, lostWork: lost.reduce((sum, work) => sum + work, known.lostWork * retained) }
+  return { ...learned, recomputed: [...learned.recomputed.filter((candidate) => candidate.service !== service), entry] }
 }
--- a/src/capacity/mix.ts
+++ b/src/capacity/mix.ts
@@ -1,56 +1,59 @@
 /**
- * What a mix of instances costs, carries after a loss, and is expected to recompute.
+ * Cost, work carried after a loss, and expected recomputed tokens of a mix of instances.
  *
- * A mix must carry the need after every loss of a list (see {@link lossesToSurvive}): any one
- * failure domain as a whole, and the reclaim of several at once where their history makes it likely.
+ * A mix must carry the need after each of a list of losses (see {@link lossesToSurvive}): the failure of any one
+ * failure domain, and simultaneous reclaims in several domains where their history makes that likely.
  */
 import type { FailureDomain } from '../identifiers.js'
 import type { Offer, OfferIdentity } from './types.js'
 import { HOUR } from '../clock.js'
 import type { Milliseconds } from '../clock.js'
 
-/** An offer with what is known of it for one service. */
+/** An offer with its learnt properties for one service. */
 export interface MixOffer extends Offer {
-  /** Work a second that one instance serves within targets. */
+  /** Work per second that one instance serves within targets. */
   readonly capacity: number
-  /** Expected reclaims of one instance an hour; 0 for on-demand ones. */
+  /** Expected reclaims per hour of one instance. 0 for on-demand instances. */
   readonly reclaimsPerHour: number
-  /** Most instances that can be had: what runs while the offer refuses, else Infinity. */
-  readonly most: number
+  /** Maximum number of instances: the running ones while the offer refuses starts, otherwise Infinity. */
+  readonly maxCount: number
 }
 
-/** What may be lost at once. */
+/** Instances that may be lost at the same time. */
 export interface Loss {
   readonly failureDomains: readonly FailureDomain[]
-  /** A failed domain loses everything, a reclaim only what is reclaimable. */
+  /** A failed domain loses all its instances, a reclaim only the reclaimable ones. */
   readonly takes: 'everything' | 'reclaimable'
-  /** Work a second to be carried after it, when the whole need cannot be; see {@link withoutImpossible}. */
+  /** Work per second to be carried after the loss if the whole need cannot be. See {@link limitToFeasible}. */
   readonly need?: number
 }
 
-/** Work a second carried in a failure domain whatever the mix. */
+/** Work per second carried in a failure domain independently of the mix. */
 export interface FixedWork {
   readonly failureDomain: FailureDomain
   readonly work: number
 }
 
-/** What a mix for one service must do. */
+/** Requirements on the mix of one service. */
 export interface MixProblem {
-  /** Work a second to be served within targets, also after a loss. */
+  /** Work per second to be served within targets, also after a loss. */
   readonly need: number
   readonly offers: readonly MixOffer[]
   readonly losses: readonly Loss[]
-  /** Work a second that instances carry which are not the planner's to change. */
+  /** Work per second carried by instances that the planner does not manage. */
   readonly fixed?: readonly FixedWork[]
-  /** Tokens computed again for each unit of work a second that a reclaim takes: an instance that serves more loses more streams. */
+  /**
+   * Recomputed tokens for each unit of work per second that a reclaim removes. An instance that serves more loses
+   * more streams.
+   */
   readonly recomputedPerLostWork: number
-  /** Tokens generated an hour, by which recomputed ones are counted. */
+  /** Tokens generated per hour, the reference for recomputed tokens. */
   readonly generatedPerHour: number
-  /** Recomputed tokens per 1,000 generated that must not be exceeded; Infinity for no bound. */
+  /** Maximum number of recomputed tokens per 1,000 generated. Infinity for no bound. */
   readonly recomputedBound: number
 }
 
-/** Instances of each offer, in the order of the problem's offers. */
+/** Number of instances of each offer, in the order of the problem's offers. */
 export type Counts = readonly number[]
 
 /** Figures of a mix. */
@@ -58,11 +61,11 @@
   readonly costPerHour: number
   /** Expected recomputed tokens per 1,000 generated. */
   readonly recomputed: number
-  /** Work a second that the worst loss leaves unserved; 0 when the targets are met. */
+  /** Work per second that is not served after the worst loss. 0 if the targets are met. */
   readonly shortfall: number
 }
 
-/** Reclaim waves that a failure domain is expected to see. */
+/** Expected reclaim waves of a failure domain. */
 export interface DomainWaves {
   readonly failureDomain: FailureDomain
   readonly wavesPerHour: number
@@ -73,11 +76,11 @@
 /**
  * Losses that a mix must survive.
  *
- * Any one domain may fail as a whole. Several domains, up to half of them, may be reclaimed before
- * replacements serve; such a set counts when its probability is above what the targets tolerate.
+ * Any one domain may fail completely. Up to half of the domains may also be reclaimed together before replacements
+ * serve. Such a set is included if its probability exceeds what the targets tolerate.
  *
  * @param options.replacement time until lost capacity is replaced, in milliseconds
- * @param options.tolerance share of requests that may go unserved: one less the strictest reliability
+ * @param options.tolerance fraction of requests that may go unserved: 1 minus the strictest reliability target
  * @example
  * const losses = lossesToSurvive(waves, { replacement: 5 * MINUTE, tolerance: 0.001 })
  */
@@ -85,8 +88,8 @@
   const losses: Loss[] = waves.map(({ failureDomain }) => ({ failureDomains: [failureDomain], takes: 'everything' }))
   const largest = Math.max(1, Math.floor(waves.length / 2))
   for (const domains of subsets(waves, 2, largest)) {
-    const together = domains.reduce((product, domain) => product * waveProbability(domain, options.replacement), 1)
-    if (together > options.tolerance) losses.push({ failureDomains: domains.map((domain) => domain.failureDomain), takes: 'reclaimable' })
+    const jointProbability = domains.reduce((product, domain) => product * waveProbability(domain, options.replacement), 1)
+    if (jointProbability > options.tolerance) losses.push({ failureDomains: domains.map((domain) => domain.failureDomain), takes: 'reclaimable' })
   }
   return losses
 }
@@ -106,7 +109,7 @@
 }
 
 /**
- * Money an hour.
+ * Cost of a mix per hour.
  *
  * @example
  * costOf(problem, counts)
@@ -128,71 +131,72 @@
 }
 
 /**
- * Work a second that the worst loss leaves unserved.
+ * Work per second that is not served after the worst loss.
  *
  * @example
  * shortfallOf(problem, counts) // 0 when every loss is survived
  */
 export function shortfallOf (problem: MixProblem, counts: Counts): number {
-  let worst = Math.max(0, problem.need - remaining(problem, counts, undefined))
-  for (const loss of problem.losses) worst = Math.max(worst, (loss.need ?? problem.need) - remaining(problem, counts, loss))
+  let worst = Math.max(0, problem.need - workAfterLoss(problem, counts, undefined))
+  for (const loss of problem.losses) worst = Math.max(worst, (loss.need ?? problem.need) - workAfterLoss(problem, counts, loss))
   return worst
 }
 
 /**
- * Work a second that a mix carries whatever is lost.
+ * Work per second that a mix carries after the worst loss.
  *
  * @example
- * const carried = carriedAfterLosses(problem, counts)
+ * const carried = workAfterWorstLoss(problem, counts)
  */
-export function carriedAfterLosses (problem: MixProblem, counts: Counts): number {
-  return Math.min(remaining(problem, counts, undefined), ...problem.losses.map((loss) => remaining(problem, counts, loss)))
+export function workAfterWorstLoss (problem: MixProblem, counts: Counts): number {
+  return Math.min(workAfterLoss(problem, counts, undefined), ...problem.losses.map((loss) => workAfterLoss(problem, counts, loss)))
 }
 
 /**
- * The problem without what no mix can do: where even every instance that can be had would not carry
- * the need after a loss, as much as can be carried is asked for.
+ * Limits a problem to what the available capacity can do. Where even all available instances would not carry the need
+ * after a loss, the need is reduced to what they carry.
  *
- * @returns the losses that cannot be survived in full at present, for the explanation
+ * @returns the limited problem, and the losses that cannot be fully survived at present
  * @example
- * const { problem: possible, unsurvivable } = withoutImpossible(problem)
+ * const { problem: possible, unsurvivable } = limitToFeasible(problem)
  */
-export function withoutImpossible (problem: MixProblem): { problem: MixProblem, unsurvivable: readonly Loss[] } {
-  const all = problem.offers.map((offer) => offer.most)
-  const need = Math.min(problem.need, remaining(problem, all, undefined))
-  const losses = problem.losses.map((loss) => ({ ...loss, need: Math.min(need, remaining(problem, all, loss)) }))
+export function limitToFeasible (problem: MixProblem): { problem: MixProblem, unsurvivable: readonly Loss[] } {
+  const maxCounts = problem.offers.map((offer) => offer.maxCount)
+  const need = Math.min(problem.need, workAfterLoss(problem, maxCounts, undefined))
+  const losses = problem.losses.map((loss) => ({ ...loss, need: Math.min(need, workAfterLoss(problem, maxCounts, loss)) }))
   return { problem: { ...problem, losses, need }, unsurvivable: losses.filter((loss) => loss.need < problem.need) }
 }
 
 /**
- * Whether a loss takes instances of an offer.
+ * Whether a loss takes the instances of an offer.
  *
  * @example
- * isTaken({ failureDomains: ['zone-a'], takes: 'reclaimable' }, offer)
+ * isLost({ failureDomains: ['zone-a'], takes: 'reclaimable' }, offer)
  */
-export function isTaken (loss: Loss, offer: OfferIdentity): boolean {
+export function isLost (loss: Loss, offer: OfferIdentity): boolean {
   if (!loss.failureDomains.includes(offer.failureDomain)) return false
   return loss.takes === 'everything' || offer.market === 'reclaimable'
 }
 
-function remaining (problem: MixProblem, counts: Counts, loss: Loss | undefined): number {
-  let sum = fixedAfter(problem, loss)
+function workAfterLoss (problem: MixProblem, counts: Counts, loss: Loss | undefined): number {
+  let sum = fixedWorkAfterLoss(problem, loss)
   for (let index = 0; index < problem.offers.length; index += 1) {
     const offer = problem.offers[index]
     const count = counts[index] ?? 0
     if (offer === undefined || count === 0) continue
-    if (loss === undefined || !isTaken(loss, offer)) sum += count * offer.capacity
+    if (loss === undefined || !isLost(loss, offer)) sum += count * offer.capacity
   }
   return sum
 }
 
 /**
- * Fixed work that remains after a loss; a reclaim may take it too, since nothing is known of its market.
+ * Fixed work per second that remains after a loss. A reclaim is assumed to take it too, because its market is
+ * unknown.
  *
  * @example
- * const already = fixedAfter(problem, loss)
+ * const carried = fixedWorkAfterLoss(problem, loss)
  */
-export function fixedAfter (problem: MixProblem, loss: Loss | undefined): number {
+export function fixedWorkAfterLoss (problem: MixProblem, loss: Loss | undefined): number {
   const left = (problem.fixed ?? []).filter((fixed) => !loss?.failureDomains.includes(fixed.failureDomain))
   return left.reduce((sum, fixed) => sum + fixed.work, 0)
 }
@@ -201,7 +205,7 @@
   return 1 - Math.exp(-domain.wavesPerHour * within / HOUR)
 }
 
-/** Subsets of a size in a range, in the order of the list. */
+/** Subsets with sizes in the given range, in the order of the list. */
 function subsets<T> (items: readonly T[], smallest: number, largest: number): T[][] {
   const found: T[][] = []
   const extend = (chosen: T[], from: number): void => {
--- a/src/capacity/orders.ts
+++ b/src/capacity/orders.ts
@@ -1,11 +1,11 @@
 /**
- * Orders to engines: a desired state with a generation and the lease's fencing number.
+ * Orders to engines: a desired state with a generation and the fencing number of the lease.
  *
- * An engine that checks fencing refuses an order that is older than its last one. One that does not
- * check obeys whatever arrives last, also an order that a paused planner sent long ago. Nothing that
- * a planner does can stop such an order, so its harm is bounded: a new holder waits out the time in
- * which its predecessor's orders can still arrive, then compares what the engine reports with what is
- * wanted, and goes on comparing. An order is sent only where the two differ.
+ * An engine that checks fencing refuses orders that are older than its last one. An engine that does not check
+ * follows whichever order arrives last, even one that a paused planner sent long ago. No planner can prevent such an
+ * order from arriving, so its effect is limited instead: a new lease holder waits until orders of its predecessor
+ * have had time to arrive, then keeps comparing each engine's reports with the desired state. An order is sent only
+ * if the two differ.
  */
 import type { Milliseconds } from '../clock.js'
 import { MINUTE, SECOND } from '../clock.js'
@@ -13,14 +13,14 @@
 import type { LoadReport } from '../upstream/index.js'
 import type { ServiceOrder } from './desired-state.js'
 
-/** What is known of one engine. */
+/** State of one engine as known to the planner. */
 export interface EngineState {
   readonly upstream: UpstreamName
   readonly service: ServiceName
   readonly report: LoadReport
-  /** Monotonic time at which the reported figures held: their arrival less their age. */
+  /** Monotonic time at which the reported state was valid: time of arrival minus the age of the report. */
   readonly reportedAt: Milliseconds
-  /** Whether it refuses orders with an old fencing number. */
+  /** Whether the engine refuses orders with an outdated fencing number. */
   readonly checksFencing: boolean
 }
 
@@ -28,60 +28,60 @@
 export interface SentOrder {
   readonly generation: number
   readonly fencing: number
-  /** Monotonic time of sending. */
+  /** Monotonic time at which the order was sent. */
   readonly at: Milliseconds
 }
 
-/** How an engine stands to its service's order. */
+/** Result of comparing an engine's report with its service's order. */
 export type Compliance =
-  /** It reports what is wanted. */
+  /** The engine reports the wanted state. */
   | { kind: 'settled' }
-  /** It has the order and is still loading. */
+  /** The engine has received the order and is still loading. */
   | { kind: 'loading' }
-  /** It must be ordered; `loads` tells whether it will fetch weights. */
+  /** The engine must be sent the order. `loads` tells whether it will load weights. */
   | { kind: 'differs', loads: boolean }
-  /** Too early to tell: an order of a predecessor, or this process's own, may still be under way. */
+  /** Undecided: an order of a predecessor or of this process may still be in transit. */
   | { kind: 'wait' }
 
-/** What the comparison is made with. */
-export interface ComparisonOptions {
+/** Parameters of the comparison. */
+export interface ComplianceOptions {
   readonly now: Milliseconds
-  /** Fencing number of the lease that is held. */
+  /** Fencing number of the held lease. */
   readonly fencing: number
-  /** Monotonic time since when the lease is held. */
+  /** Monotonic time since which the lease has been held. */
   readonly heldSince: Milliseconds
   /** Last order that this process sent to the engine. */
   readonly sent: SentOrder | undefined
 }
 
 /**
- * Time within which a predecessor's order arrives, counted from the change of holder: the bound on
- * one call, and what its clock may lag. A planner paused for longer than this is covered by the
- * comparison, which then costs an engine that does not check fencing one load.
+ * Time after a change of lease holder within which the predecessor's orders arrive: the limit on one call plus the
+ * tolerated lag of its clock. If a planner was paused for longer than this, the repeated comparison corrects the
+ * effect. An engine that does not check fencing then loads weights once more.
  */
-export const PREDECESSOR_BOUND: Milliseconds = 5 * SECOND
+export const PREDECESSOR_ORDER_DELAY: Milliseconds = 5 * SECOND
 
-/** An order is repeated when the reports do not show it after this time. */
-const REPEAT: Milliseconds = 10 * SECOND
+/** Time after which an order is repeated if no report shows it. */
+const REPEAT_INTERVAL: Milliseconds = 10 * SECOND
 
-/** An engine that has not loaded what it was ordered after this time is ordered again. */
-const LOAD_PATIENCE: Milliseconds = 15 * MINUTE
+/** Time after which an engine that has not loaded the ordered model is ordered again. */
+const LOAD_TIMEOUT: Milliseconds = 15 * MINUTE
 
 /**
  * Compares an engine's report with its service's order.
  *
  * @example
- * if (compare(engine, order, options).kind === 'differs') await send(orderFor(order, lease.fencing))
+ * if (checkCompliance(engine, order, options).kind === 'differs') await send(orderFor(order, lease.fencing))
  */
-export function compare (engine: EngineState, order: ServiceOrder, options: ComparisonOptions): Compliance {
+export function checkCompliance (engine: EngineState, order: ServiceOrder, options: ComplianceOptions): Compliance {
   const { now, sent } = options
-  const own = sent !== undefined && sent.generation === order.generation && sent.fencing === options.fencing ? sent : undefined
-  if (isSettled(engine.report, order)) return { kind: 'settled' }
-  if (mayHideAnOrder(engine, options)) return { kind: 'wait' }
-  // The report may be older than the order that this process sent last.
-  if (own !== undefined && engine.reportedAt < own.at && now - own.at < REPEAT) return { kind: 'wait' }
-  if (engine.report.generation === order.generation && isOnTheWay(engine.report, order) && !hasWaited(own, options)) return { kind: 'loading' }
-  if (own !== undefined && now - own.at < REPEAT && engine.report.generation === order.generation) return { kind: 'wait' }
+  const ownOrder = sent !== undefined && sent.generation === order.generation && sent.fencing === options.fencing ? sent : undefined
+  if (matchesOrder(engine.report, order)) return { kind: 'settled' }
+  if (mayPrecedeLateOrder(engine, options)) return { kind: 'wait' }
+  // The report may be older than the last order of this process.
+  if (ownOrder !== undefined && engine.reportedAt < ownOrder.at && now - ownOrder.at < REPEAT_INTERVAL) return { kind: 'wait' }
+  if (engine.report.generation === order.generation && isLoading(engine.report, order) && !hasLoadTimedOut(ownOrder, options)) return { kind: 'loading' }
+  if (ownOrder !== undefined && now - ownOrder.at < REPEAT_INTERVAL && engine.report.generation === order.generation) return { kind: 'wait' }
   return { kind: 'differs', loads: !engine.report.models.includes(order.model) }
 }
 
@@ -89,9 +89,9 @@
  * Whether an engine serves what its service's order wants.
  *
  * @example
- * const serving = engines.filter((engine) => isSettled(engine.report, order))
+ * const serving = engines.filter((engine) => matchesOrder(engine.report, order))
  */
-export function isSettled (report: LoadReport, order: ServiceOrder): boolean {
+export function matchesOrder (report: LoadReport, order: ServiceOrder): boolean {
   return report.generation === order.generation &&
     report.role === order.role &&
     report.models.includes(order.model) &&
@@ -99,9 +99,9 @@
 }
 
 /**
- * Highest generation that engines report. A desired state below it would never be obeyed by engines
- * that keep to the highest generation, so the next one must start above it. This happens after the
- * key-value service has lost its contents.
+ * Highest generation reported by engines. Engines that keep to the highest generation they received ignore a desired
+ * state below it, so the next state must exceed it. The stored generation falls behind when the key-value service has
+ * lost its contents.
  *
  * @example
  * const generation = Math.max(state.generation, highestReported(engines)) + 1
@@ -111,20 +111,20 @@
 }
 
 /**
- * Failure guarded against: a predecessor was paused just before it sent an order; the new holder
- * orders something else, the engine loads it, then the late order arrives and the engine loads the
- * old model again. The wait lets the late order arrive first, and only a report from after the wait
- * is believed. Engines that check fencing refuse the late order, so they are not waited for.
+ * Failure guarded against: a predecessor is paused just before it sends an order. The new holder orders a different
+ * model, the engine loads it, then the late order arrives and the engine loads the old model again. The wait lets the
+ * late order arrive first, and only reports from after the wait are used. Engines that check fencing refuse the late
+ * order and need no wait.
  */
-function mayHideAnOrder (engine: EngineState, options: ComparisonOptions): boolean {
+function mayPrecedeLateOrder (engine: EngineState, options: ComplianceOptions): boolean {
   if (engine.checksFencing) return false
-  return engine.reportedAt < options.heldSince + PREDECESSOR_BOUND
+  return engine.reportedAt < options.heldSince + PREDECESSOR_ORDER_DELAY
 }
 
-function isOnTheWay (report: LoadReport, order: ServiceOrder): boolean {
+function isLoading (report: LoadReport, order: ServiceOrder): boolean {
   return !report.models.includes(order.model) || order.adapters.some((adapter) => !report.adapters.includes(adapter))
 }
 
-function hasWaited (own: SentOrder | undefined, options: ComparisonOptions): boolean {
-  return options.now - (own?.at ?? options.heldSince) >= LOAD_PATIENCE
+function hasLoadTimedOut (ownOrder: SentOrder | undefined, options: ComplianceOptions): boolean {
+  return options.now - (ownOrder?.at ?? options.heldSince) >= LOAD_TIMEOUT
 }
--- a/src/capacity/plan.ts
+++ b/src/capacity/plan.ts
@@ -1,10 +1,10 @@
-/** One decision of the planner: from what is wanted, learnt and seen to what is wanted next. */
+/** One planning step: computes the next desired state from the configuration, the learnt state and the observed fleet. */
 import type { Configuration, Service } from '../configuration/index.js'
 import type { Milliseconds } from '../clock.js'
-import { mintedBy, withOrders } from './desired-state.js'
+import { generationOfName, withOrders } from './desired-state.js'
 import type { DesiredState, ServiceOrder, Slot, WantedOrder } from './desired-state.js'
 import type { PlannerEvent } from './history.js'
-import { countsOf, steadyMix } from './hysteresis.js'
+import { countsOf, chooseStableMix } from './hysteresis.js'
 import type { Learned } from './learned.js'
 import { figuresOf } from './mix.js'
 import type { Loss, MixProblem } from './mix.js'
@@ -16,35 +16,35 @@
 import type { TargetOutcome } from './targets.js'
 import type { CloudInstance, Offer } from './types.js'
 
-/** What a decision is made from. */
+/** Input of a planning step. */
 export interface PlanInput {
   readonly configuration: Configuration
   readonly state: DesiredState
   readonly learned: Learned
-  /** What the cloud sells for a service; empty while it is not known. */
+  /** Offers that are available for a service. Empty while they are unknown. */
   readonly offersFor: (service: Service) => readonly Offer[]
   readonly fleet: FleetObservation
   /** Wall time, in milliseconds. */
   readonly now: Milliseconds
-  /** Fencing number of the lease that is held. */
+  /** Fencing number of the held lease. */
   readonly fencing: number
-  /** Highest generation that engines report. */
+  /** Highest generation reported by engines. */
   readonly reportedGeneration: number
 }
 
-/** A decision. */
+/** Result of a planning step. */
 export interface Plan {
-  /** The state to write; the one given when nothing changes. */
+  /** State to be written. The given state itself if nothing changes. */
   readonly state: DesiredState
   readonly outcome: TargetOutcome
   /** Needs of the services, for the order of weight loads, with the losses that cannot be survived. */
   readonly needs: readonly { readonly service: Service, readonly problem: MixProblem, readonly unsurvivable: readonly Loss[] }[]
-  /** What changed, for the history. */
+  /** Changes, for the history. */
   readonly events: readonly PlannerEvent[]
 }
 
-/** A service with its problem and the mix it is brought towards. */
-interface Decided {
+/** A service with its problem and the chosen mix. */
+interface ServiceDecision {
   readonly service: Service
   readonly problem: MixProblem
   readonly solution: MixSolution
@@ -52,10 +52,10 @@
   readonly chosen: DesiredState['mixes'][number]
 }
 
-const ANSWERS_PER_HOUR = 3_600
+const SECONDS_PER_HOUR = 3_600
 
 /**
- * Decides what is wanted next. The state's generation rises exactly when something changes.
+ * Computes the next desired state. The generation increases exactly when something changes.
  *
  * @example
  * const { state, events } = plan({ configuration, state, learned, offersFor, fleet, now, fencing, reportedGeneration })
@@ -63,15 +63,15 @@
 export function plan (input: PlanInput): Plan {
   const { state, fleet, now } = input
   const generation = nextGeneration(input)
-  const observed = observeSlots([...state.slots, ...adopted(state, fleet.instances, now)], fleet, now)
+  const observed = observeSlots([...state.slots, ...adoptedSlots(state, fleet.instances, now)], fleet, now)
   const decided = decideMixes(input, observed)
-  const held = input.configuration.services.filter((service) => !decided.some((one) => one.service === service)).map((service) => service.name)
+  const undecided = input.configuration.services.filter((service) => !decided.some((decision) => decision.service === service)).map((service) => service.name)
   const mixes: ServiceMix[] = decided.map(({ service, problem, counts }) => ({ service: service.name, problem, counts }))
-  const next = settle(state, {
+  const next = keepIfUnchanged(state, {
     fencing: input.fencing,
     generation,
-    mixes: [...state.mixes.filter((mix) => held.includes(mix.service)), ...decided.map((one) => one.chosen)],
-    slots: matchMixes(observed, mixes, { ...fleet, held }, generation, now),
+    mixes: [...state.mixes.filter((mix) => undecided.includes(mix.service)), ...decided.map((decision) => decision.chosen)],
+    slots: matchMixes(observed, mixes, { ...fleet, undecided }, generation, now),
     orders: ordersOf(input, generation)
   })
   const outcome = outcomeFor(input, decided)
@@ -84,57 +84,58 @@
 }
 
 /**
- * Instances of the group that the state does not know and that no older state can have given up:
- * those of the deployment's first day, and all of them after the key-value service has lost its
- * contents. They are taken over as they are, so that nothing is bought a second time. A planner that
- * was paused may find its successor's instances here; its state is then refused by compare-and-swap.
+ * Slots for instances of the group that are missing from the state and that no earlier state can have released: their
+ * names are of a newer generation, or were not created by the planner. These are the first instances of a new
+ * deployment, or all instances after the key-value service has lost its contents. They are adopted unchanged, so that
+ * nothing is bought twice. A planner that was paused may find its successor's instances here. Compare-and-swap then
+ * rejects its state.
  */
-function adopted (state: DesiredState, instances: readonly CloudInstance[], now: Milliseconds): Slot[] {
+function adoptedSlots (state: DesiredState, instances: readonly CloudInstance[], now: Milliseconds): Slot[] {
   const known = new Set(state.slots.map((slot) => slot.name))
-  const unknown = instances.filter(({ name }) => !known.has(name) && (mintedBy(name) ?? Infinity) > state.generation)
+  const unknown = instances.filter(({ name }) => !known.has(name) && (generationOfName(name) ?? Infinity) > state.generation)
   return unknown.map(({ name, service, failureDomain, machineClass, market }) =>
     ({ name, service, offer: { failureDomain, machineClass, market }, state: 'wanted', since: now, started: true, reason: 'mix' }))
 }
 
-/** Above every generation that was ever seen, so that names and orders are new also after the state was lost. */
+/** A generation above all known ones, so that names and orders are new even after the state was lost. */
 function nextGeneration (input: PlanInput): number {
-  const minted = input.fleet.instances.map((instance) => mintedBy(instance.name) ?? 0)
-  return Math.max(input.state.generation, input.reportedGeneration, ...minted) + 1
+  const usedGenerations = input.fleet.instances.map((instance) => generationOfName(instance.name) ?? 0)
+  return Math.max(input.state.generation, input.reportedGeneration, ...usedGenerations) + 1
 }
 
-function decideMixes (input: PlanInput, slots: readonly Slot[]): Decided[] {
+function decideMixes (input: PlanInput, slots: readonly Slot[]): ServiceDecision[] {
   const { configuration, learned, now } = input
   const target = configuration.deployment.target
-  const sold = configuration.services.map((service) => ({ service, offers: input.offersFor(service) })).filter(({ offers }) => offers.length > 0)
-  const presentOf = (service: Service) => input.state.mixes.find((mix) => mix.service === service.name)
-  const problems = sold.map(({ service, offers }) => {
-    const chosenNeed = presentOf(service)?.need ?? 0
+  const withOffers = configuration.services.map((service) => ({ service, offers: input.offersFor(service) })).filter(({ offers }) => offers.length > 0)
+  const presentMixOf = (service: Service) => input.state.mixes.find((mix) => mix.service === service.name)
+  const problems = withOffers.map(({ service, offers }) => {
+    const chosenNeed = presentMixOf(service)?.need ?? 0
     return { service: service.name, problem: problemOf({ configuration, service, offers, learned, slots, chosenNeed, now }) }
   })
   const { solutions } = chooseMixes(problems, target, answersPerHour(input))
-  return sold.map(({ service }, index) => {
+  return withOffers.map(({ service }, index) => {
     const best = solutions[index] as MixSolution
-    // Where the targets give, the bound is what the chosen mixes need.
+    // If the target is exceeded, the bound is what the best mixes need.
     const recomputedBound = Math.max(target.recomputed_per_thousand_tokens, best.figures.recomputed)
     const problem = { ...(problems[index] as { problem: Omit<MixProblem, 'recomputedBound'> }).problem, recomputedBound }
-    const chosen = steadyMix(service.name, presentOf(service), problem, best, now)
+    const chosen = chooseStableMix(service.name, presentMixOf(service), problem, best, now)
     return { service, problem, solution: best, chosen, counts: countsOf(chosen, problem) }
   })
 }
 
-function outcomeFor (input: PlanInput, decided: readonly Decided[]): TargetOutcome {
+function outcomeFor (input: PlanInput, decided: readonly ServiceDecision[]): TargetOutcome {
   const problems = decided.map(({ service, problem }) => ({ service: service.name, problem }))
   const solutions = decided.map(({ problem, counts, solution }) => ({ ...solution, counts, figures: figuresOf(problem, counts) }))
   return outcomeOf(problems, solutions, input.configuration.deployment.target, answersPerHour(input))
 }
 
 function answersPerHour (input: PlanInput): number {
-  return input.learned.demands.reduce((sum, { demand }) => sum + demand.requestsPerSecond, 0) * ANSWERS_PER_HOUR
+  return input.learned.demands.reduce((sum, { demand }) => sum + demand.requestsPerSecond, 0) * SECONDS_PER_HOUR
 }
 
 /**
- * A service whose order is in force at a generation above the state's own keeps it only in the
- * state; when engines report a higher generation than the state knows, every order is made anew.
+ * Orders of the services. Unchanged orders keep their generation. If engines report a higher generation than the
+ * state has, the state was lost and every order is issued anew.
  */
 function ordersOf (input: PlanInput, generation: number): ServiceOrder[] {
   const known = input.reportedGeneration > input.state.generation ? [] : input.state.orders
@@ -146,13 +147,13 @@
   return [{ service: service.name, model: service.model, version: '1', adapters: service.adapters, role: 'mixed' }]
 }
 
-/** The old state itself when nothing but its number would change. */
-function settle (before: DesiredState, after: DesiredState): DesiredState {
+/** Returns the previous state if nothing but the generation differs. */
+function keepIfUnchanged (before: DesiredState, after: DesiredState): DesiredState {
   const unchanged = JSON.stringify({ ...after, generation: before.generation }) === JSON.stringify(before)
   return unchanged ? before : after
 }
 
-function eventsOf (before: DesiredState, after: DesiredState, decided: readonly Decided[]): PlannerEvent[] {
+function eventsOf (before: DesiredState, after: DesiredState, decided: readonly ServiceDecision[]): PlannerEvent[] {
   const events: PlannerEvent[] = []
   if (after.fencing !== before.fencing) events.push({ kind: 'lease-taken', fencing: after.fencing })
   for (const { service, problem, chosen, counts } of decided) {
@@ -170,15 +171,15 @@
   const known = new Map(before.slots.map((slot) => [slot.name, slot.state]))
   const changed = after.slots.filter((slot) => known.get(slot.name) !== slot.state)
   return [...new Set(changed.map((slot) => slot.service))].map((service) => {
-    const own = changed.filter((slot) => slot.service === service)
-    const draining = own.filter((slot) => slot.state === 'leaving')
+    const changedSlots = changed.filter((slot) => slot.service === service)
+    const draining = changedSlots.filter((slot) => slot.state === 'leaving')
     return {
       kind: 'instances',
       service,
-      wanted: own.filter((slot) => slot.state === 'wanted').length,
+      wanted: changedSlots.filter((slot) => slot.state === 'wanted').length,
       reclaimed: draining.filter((slot) => slot.reason === 'reclaim').length,
       draining: draining.filter((slot) => slot.reason !== 'reclaim').length,
-      released: own.filter((slot) => slot.state === 'released').length
+      released: changedSlots.filter((slot) => slot.state === 'released').length
     }
   })
 }
--- a/src/capacity/reclaim-history.ts
+++ b/src/capacity/reclaim-history.ts
@@ -1,7 +1,7 @@
 /**
- * How often each failure domain takes instances back, learnt from reclaims with decay, so that an
- * old storm is forgotten and a domain that was left is tried again. Times are wall times, since a
- * successor on another instance goes on from what is kept here.
+ * Reclaim rates of the failure domains, learnt from reclaims. Observations decay, so that old reclaim waves are
+ * forgotten and an avoided domain is used again. Times are wall times, because a planner on another instance
+ * continues from the stored values.
  */
 import * as z from 'zod'
 import { HOUR, MINUTE } from '../clock.js'
@@ -9,57 +9,59 @@
 import { failureDomainSchema } from '../identifiers.js'
 import type { FailureDomain } from '../identifiers.js'
 
-/** Decayed sums of one failure domain. */
+/** Exponentially decayed sums of one failure domain. */
 const domainHistorySchema = z.object({
   failureDomain: failureDomainSchema,
-  /** Hours of reclaimable instances. */
+  /** Running hours of reclaimable instances. */
   instanceHours: z.number().nonnegative(),
-  /** Instances taken back. */
+  /** Number of reclaimed instances. */
   reclaims: z.number().nonnegative(),
-  /** Hours in which the domain was used. */
+  /** Hours in which the domain had reclaimable instances. */
   hours: z.number().nonnegative(),
-  /** Waves: reclaims that came close together count as one. */
+  /** Number of reclaim waves. Reclaims shortly after one another count as one wave. */
   waves: z.number().nonnegative(),
-  /** Wall time of the last wave's last reclaim; undefined when none is remembered. */
+  /** Wall time of the most recent reclaim. Undefined if there was none. */
   lastReclaim: z.number().optional()
 })
 type DomainHistory = z.infer<typeof domainHistorySchema>
 
-/** Reclaims of all domains. */
+/** Reclaim history of all failure domains. */
 export const reclaimHistorySchema = z.object({
   at: z.number(),
   domains: z.array(domainHistorySchema)
 })
 export type ReclaimHistory = z.infer<typeof reclaimHistorySchema>
 
-/** What happened in a failure domain since the last observation. */
+/** Observation of a failure domain since the previous observation. */
 export interface DomainObservation {
   readonly failureDomain: FailureDomain
-  /** Reclaimable instances that ran. */
+  /** Number of running reclaimable instances. */
   readonly reclaimable: number
-  /** Instances that were taken back. */
+  /** Number of instances reclaimed since then. */
   readonly reclaimed: number
 }
 
-/** Expected reclaims of a domain. */
+/** Expected reclaim rate of a failure domain. */
 export interface ReclaimRate {
-  /** Reclaims of one reclaimable instance an hour. */
+  /** Reclaims per hour of one reclaimable instance. */
   readonly perInstanceHour: number
-  /** Waves of the domain an hour. */
+  /** Reclaim waves per hour in the domain. */
   readonly wavesPerHour: number
 }
 
-/** Time over which an observation loses half of its weight. */
+/** Time after which an observation has half its weight. */
 const HALF_LIFE: Milliseconds = 24 * HOUR
 
-/** Reclaims in one domain closer than this belong to one wave. */
-const WAVE_GAP: Milliseconds = 5 * MINUTE
+/** Maximum time between two reclaims of one wave. */
+const MAX_WAVE_GAP: Milliseconds = 5 * MINUTE
 
-/** Belief before anything was seen: one wave a day, held as firmly as six hours of observation. */
-const PRIOR_RATE = 1 / 24
+/** Prior estimate: one reclaim wave a day, weighted like six hours of observation. */
+const PRIOR_RECLAIMS_PER_HOUR = 1 / 24
 const PRIOR_HOURS = 6
 
 /**
+ * Creates a history without observations.
+ *
  * @example
  * const history = emptyReclaimHistory(clock.wall())
  */
@@ -68,7 +70,7 @@
 }
 
 /**
- * Takes what happened since the last observation into the history.
+ * Adds observations to the history. Earlier ones lose weight with the elapsed time.
  *
  * @example
  * const next = observeReclaims(history, now, [{ failureDomain, reclaimable: 4, reclaimed: 0 }])
@@ -79,20 +81,20 @@
   const known = new Map(history.domains.map((domain) => [domain.failureDomain, decayed(domain, decay)]))
   for (const observation of observations) {
     const domain = known.get(observation.failureDomain) ?? emptyDomain(observation.failureDomain)
-    known.set(observation.failureDomain, extended(domain, observation, elapsed / HOUR, now))
+    known.set(observation.failureDomain, withObservation(domain, observation, elapsed / HOUR, now))
   }
   return { at: now, domains: [...known.values()] }
 }
 
 /**
- * Expected reclaims of a domain: what was seen, blended with the belief before anything was seen.
+ * Expected reclaim rate of a domain, blended from its history and the prior estimate.
  *
  * @example
- * reclaimRate(history, failureDomain).perInstanceHour // 0.04 before anything was seen
+ * reclaimRate(history, failureDomain).perInstanceHour // 0.04 without observations
  */
 export function reclaimRate (history: ReclaimHistory, failureDomain: FailureDomain): ReclaimRate {
   const domain = history.domains.find((candidate) => candidate.failureDomain === failureDomain) ?? emptyDomain(failureDomain)
-  const prior = PRIOR_RATE * PRIOR_HOURS
+  const prior = PRIOR_RECLAIMS_PER_HOUR * PRIOR_HOURS
   return {
     perInstanceHour: (domain.reclaims + prior) / (domain.instanceHours + PRIOR_HOURS),
     wavesPerHour: (domain.waves + prior) / (domain.hours + PRIOR_HOURS)
@@ -113,7 +115,7 @@
   }
 }
 
-function extended (domain: DomainHistory, observation: DomainObservation, hours: number, now: Milliseconds): DomainHistory {
+function withObservation (domain: DomainHistory, observation: DomainObservation, hours: number, now: Milliseconds): DomainHistory {
   const used = observation.reclaimable > 0 || observation.reclaimed > 0
   const next = {
     ...domain,
@@ -122,6 +124,6 @@
     reclaims: domain.reclaims + observation.reclaimed
   }
   if (observation.reclaimed === 0) return next
-  const sameWave = domain.lastReclaim !== undefined && now - domain.lastReclaim < WAVE_GAP
+  const sameWave = domain.lastReclaim !== undefined && now - domain.lastReclaim < MAX_WAVE_GAP
   return { ...next, lastReclaim: now, waves: domain.waves + (sameWave ? 0 : 1) }
 }
--- a/src/capacity/refusals.ts
+++ b/src/capacity/refusals.ts
@@ -1,52 +1,52 @@
-/** Offers that refused a start, and when they are asked again: back-off with jitter. */
+/** Exponential back-off with jitter for offers that refused a start. */
 import * as z from 'zod'
 import { MINUTE, SECOND } from '../clock.js'
 import type { Milliseconds } from '../clock.js'
 import type { Random } from '../random.js'
 import type { OfferKey } from './types.js'
 
-/** Offers that refused of late. */
+/** An offer that refused a start recently. */
 export const refusalSchema = z.object({
   offer: z.string().transform((key) => key as OfferKey),
   failures: z.number().int().positive(),
-  /** Wall time before which the offer is not asked again. */
+  /** Wall time until which the offer is not requested again. */
   until: z.number()
 })
 export type Refusal = z.infer<typeof refusalSchema>
 
-const FIRST_BACK_OFF: Milliseconds = 30 * SECOND
-const LONGEST_BACK_OFF: Milliseconds = 30 * MINUTE
+const INITIAL_BACK_OFF: Milliseconds = 30 * SECOND
+const MAX_BACK_OFF: Milliseconds = 30 * MINUTE
 
 /**
- * Notes that an offer refused a start.
+ * Records that an offer refused a start and extends its back-off.
  *
  * @example
- * const refusals = noteRefusal(known, offerKey(slot.offer), clock.wall(), random)
+ * const refusals = recordRefusal(known, offerKey(slot.offer), clock.wall(), random)
  */
-export function noteRefusal (refusals: readonly Refusal[], offer: OfferKey, now: Milliseconds, random: Random): Refusal[] {
+export function recordRefusal (refusals: readonly Refusal[], offer: OfferKey, now: Milliseconds, random: Random): Refusal[] {
   const failures = (refusals.find((refusal) => refusal.offer === offer)?.failures ?? 0) + 1
-  const pause = Math.min(LONGEST_BACK_OFF, FIRST_BACK_OFF * 2 ** (failures - 1))
+  const pause = Math.min(MAX_BACK_OFF, INITIAL_BACK_OFF * 2 ** (failures - 1))
   const until = now + pause * (0.5 + random.fraction() / 2)
   return [...refusals.filter((refusal) => refusal.offer !== offer), { offer, failures, until }]
 }
 
 /**
- * Notes that an offer was had again.
+ * Clears the back-off of an offer after a successful start.
  *
  * @example
- * const refusals = noteStart(known, offerKey(slot.offer))
+ * const refusals = clearRefusal(known, offerKey(slot.offer))
  */
-export function noteStart (refusals: readonly Refusal[], offer: OfferKey): Refusal[] {
+export function clearRefusal (refusals: readonly Refusal[], offer: OfferKey): Refusal[] {
   return refusals.filter((refusal) => refusal.offer !== offer)
 }
 
 /**
- * Whether an offer is held at what runs there. A back-off further ahead than any can be comes from
- * another instance's wall clock, or from before a jump, and counts for nothing.
+ * Whether an offer is in back-off, so that no more instances of it are requested. A back-off that ends later than the
+ * maximum allows comes from another instance's wall clock or from before a clock jump, and is ignored.
  *
  * @example
- * const most = isRefusing(refusals, key, clock.wall()) ? running : Infinity
+ * const maxCount = isRefusing(refusals, key, clock.wall()) ? running : Infinity
  */
 export function isRefusing (refusals: readonly Refusal[], offer: OfferKey, now: Milliseconds): boolean {
-  return refusals.some((refusal) => refusal.offer === offer && now < refusal.until && refusal.until - now <= LONGEST_BACK_OFF)
+  return refusals.some((refusal) => refusal.offer === offer && now < refusal.until && refusal.until - now <= MAX_BACK_OFF)
 }
--- a/src/capacity/replacement.ts
+++ b/src/capacity/replacement.ts
@@ -1,67 +1,70 @@
 /**
- * From a mix to instances: which slots to open, move, drain and release, and how to come by capacity
- * when offers refuse.
+ * Translates mixes into slots: which instances to start, move, drain and release, also when offers refuse to start
+ * instances.
  *
- * Reaction to a refusal: the offer is held at what runs there until its back-off has passed, so the
- * next search of a mix finds the next cheapest domain, class or market by itself. When the back-off
- * has passed the offer counts again, and a mix that saves enough brings the service home: the cheaper
- * instance is started first, and the dearer one drained only when the rest carries the need.
+ * When an offer refuses, it is limited to its running instances until its back-off has passed, so the next search
+ * uses the next cheapest domain, class or market. After the back-off the offer is available again, and a mix that
+ * saves enough moves the service back. The cheaper instance is started first, and the more expensive one is drained
+ * only when the remaining instances carry the need.
  */
 import { MINUTE, SECOND } from '../clock.js'
 import type { Milliseconds } from '../clock.js'
 import type { InstanceName, ServiceName } from '../identifiers.js'
-import { mintName, mintedBy } from './desired-state.js'
+import { createInstanceName, generationOfName } from './desired-state.js'
 import type { DesiredState, Slot } from './desired-state.js'
-import { shortfallOf, withoutImpossible } from './mix.js'
+import { shortfallOf, limitToFeasible } from './mix.js'
 import type { MixProblem } from './mix.js'
 import type { CloudInstance, OfferKey } from './types.js'
 import { offerKey } from './types.js'
 
-/** What is seen of the instances. */
+/** Observed state of the instances. */
 export interface FleetObservation {
-  /** The cloud's list of the group, complete. */
+  /** Complete list of the group's instances from the cloud. */
   readonly instances: readonly CloudInstance[]
-  /** Instances that serve their service's present order. */
+  /** Instances that serve their service's current order. */
   readonly serving: ReadonlySet<InstanceName>
   /** Instances without requests. */
   readonly idle: ReadonlySet<InstanceName>
-  /** Names whose release the cloud has confirmed. */
+  /** Names of instances whose release the cloud has confirmed. */
   readonly released: ReadonlySet<InstanceName>
-  /** Names that the cloud says have ended. */
+  /** Names of instances that have ended according to the cloud. */
   readonly ended?: ReadonlySet<InstanceName>
-  /** Instances that do not answer although the cloud lists them, long enough to be given up. */
+  /** Instances that the cloud lists but that have not responded for long enough to be replaced. */
   readonly silent?: ReadonlySet<InstanceName>
-  /** Services for which nothing can be decided now; their slots stay as they are. */
-  readonly held?: readonly ServiceName[]
+  /** Services for which nothing can be decided now. Their slots are left unchanged. */
+  readonly undecided?: readonly ServiceName[]
 }
 
-/** The mix wanted for a service. */
+/** The wanted mix of a service. */
 export interface ServiceMix {
   readonly service: ServiceName
   readonly problem: MixProblem
-  /** Instances of each of the problem's offers. */
+  /** Number of instances of each of the problem's offers. */
   readonly counts: readonly number[]
 }
 
-/** Slots under change. */
+/** Mutable list of slots. */
 interface SlotDraft {
   readonly slots: Slot[]
   readonly generation: number
   readonly now: Milliseconds
-  minted: number
+  namesCreated: number
 }
 
-/** A leaving instance is kept at least this long: every node must have heard that it leaves. */
-export const SHORTEST_DRAIN: Milliseconds = 10 * SECOND
+/** Minimum time between draining and release, within which every node learns that the instance is leaving. */
+export const MIN_DRAIN_TIME: Milliseconds = 10 * SECOND
 
-/** A leaving instance is released after this time whatever still runs there; its work is resumed elsewhere. */
-export const LONGEST_DRAIN: Milliseconds = 10 * MINUTE
+/**
+ * Time after which a draining instance is released even if requests still run on it. They are resumed on other
+ * instances.
+ */
+export const MAX_DRAIN_TIME: Milliseconds = 10 * MINUTE
 
-/** Shortfall below this is noise of floating point. */
-const NOISE = 1e-6
+/** Shortfalls up to this value are floating-point rounding errors. */
+const SHORTFALL_TOLERANCE = 1e-6
 
 /**
- * Instances of each of a problem's offers that are wanted and not leaving.
+ * Number of wanted instances of each of a problem's offers. Leaving instances are not included.
  *
  * @example
  * const counts = wantedCounts(state.slots, service, problem)
@@ -72,7 +75,7 @@
 }
 
 /**
- * Brings the slots in line with what the cloud shows: what was started, taken back or has ended.
+ * Updates the slots from the cloud's list: started, reclaimed and ended instances.
  *
  * @example
  * const slots = observeSlots(state.slots, fleet, clock.wall())
@@ -85,37 +88,37 @@
 }
 
 /**
- * Opens, moves and drains slots until they match the mixes.
+ * Creates, moves and drains slots until they match the mixes.
  *
- * @param generation generation of the state that is being made; new names carry it
+ * @param generation generation of the state that is being made; new names contain it
  * @example
  * const slots = matchMixes(observed, mixes, fleet, state.generation + 1, clock.wall())
  */
 export function matchMixes (slots: readonly Slot[], mixes: readonly ServiceMix[], fleet: FleetObservation, generation: number, now: Milliseconds): Slot[] {
-  const draft = { slots: [...slots], generation, minted: 0, now }
-  const services = new Set([...mixes.map((mix) => mix.service), ...fleet.held ?? []])
+  const draft = { slots: [...slots], generation, namesCreated: 0, now }
+  const services = new Set([...mixes.map((mix) => mix.service), ...fleet.undecided ?? []])
   draft.slots.forEach((slot, position) => {
-    if (slot.state === 'wanted' && !services.has(slot.service)) draft.slots[position] = withdrawn(slot, now)
+    if (slot.state === 'wanted' && !services.has(slot.service)) draft.slots[position] = withdrawSlot(slot, now)
   })
   for (const mix of mixes) matchMix(draft, mix, fleet)
   return draft.slots
 }
 
 /**
- * Instances of the group that nobody wants: started by an order that came late.
+ * Names of stray instances of the group, which are not wanted and were started by a late order.
  *
- * Failure guarded against: a planner that was paused takes what its successor started for strays,
- * and releases it. Names carry the generation that minted them; one that is newer than the state at
- * hand is no stray to whoever holds that state.
+ * Failure guarded against: a planner that was paused takes its successor's instances for strays and releases them.
+ * Names contain the generation that created them. An instance of a newer generation than the given state is not a
+ * stray.
  *
  * @example
- * for (const name of strays(state, fleet.instances)) await cloud.release(name)
+ * for (const name of findStrays(state, fleet.instances)) await cloud.release(name)
  */
-export function strays (state: DesiredState, instances: readonly CloudInstance[]): InstanceName[] {
+export function findStrays (state: DesiredState, instances: readonly CloudInstance[]): InstanceName[] {
   const known = new Set(state.slots.map((slot) => slot.name))
   return instances
     .map((instance) => instance.name)
-    .filter((name) => !known.has(name) && (mintedBy(name) ?? Infinity) <= state.generation)
+    .filter((name) => !known.has(name) && (generationOfName(name) ?? Infinity) <= state.generation)
 }
 
 function observeSlot (slot: Slot, instance: CloudInstance | undefined, fleet: FleetObservation, now: Milliseconds): Slot {
@@ -126,19 +129,19 @@
   if (slot.state === 'wanted') return fleet.silent?.has(slot.name) ? { ...seen, state: 'leaving', since: now, reason: 'ended' } : seen
   if (slot.reason === 'reclaim') return seen
   const waited = now - slot.since
-  const drained = waited >= SHORTEST_DRAIN && fleet.idle.has(slot.name)
-  return drained || waited >= LONGEST_DRAIN ? { ...seen, state: 'released', since: now } : seen
+  const drained = waited >= MIN_DRAIN_TIME && fleet.idle.has(slot.name)
+  return drained || waited >= MAX_DRAIN_TIME ? { ...seen, state: 'released', since: now } : seen
 }
 
 function matchMix (draft: SlotDraft, mix: ServiceMix, fleet: FleetObservation): void {
   const groups = wantedByOffer(draft.slots, mix.service)
-  const surplus = surplusOf(draft.slots, groups, mix, fleet)
+  const surplus = findSurplus(draft.slots, groups, mix, fleet)
   const movable = surplus.filter((position) => !draft.slots[position]?.started)
   mix.problem.offers.forEach((offer, index) => {
     const present = groups.get(offerKey(offer))?.length ?? 0
-    for (let missing = (mix.counts[index] ?? 0) - present; missing > 0; missing -= 1) place(draft, mix.service, offer, movable.pop())
+    for (let missing = (mix.counts[index] ?? 0) - present; missing > 0; missing -= 1) fillNeed(draft, mix.service, offer, movable.pop())
   })
-  retire(draft, [...movable, ...surplus.filter((position) => draft.slots[position]?.started)], mix, fleet)
+  drainSurplus(draft, [...movable, ...surplus.filter((position) => draft.slots[position]?.started)], mix, fleet)
 }
 
 function wantedByOffer (slots: readonly Slot[], service: ServiceName): Map<OfferKey, number[]> {
@@ -151,47 +154,50 @@
   return groups
 }
 
-/** Positions beyond the mix; those that serve are kept before those that do not. */
-function surplusOf (slots: readonly Slot[], groups: ReadonlyMap<OfferKey, readonly number[]>, mix: ServiceMix, fleet: FleetObservation): number[] {
+/** Positions of the slots that exceed the mix. Serving instances are kept before others. */
+function findSurplus (slots: readonly Slot[], groups: ReadonlyMap<OfferKey, readonly number[]>, mix: ServiceMix, fleet: FleetObservation): number[] {
   const counts = new Map(mix.problem.offers.map((offer, index) => [offerKey(offer), mix.counts[index] ?? 0]))
-  const worth = (position: number): number => {
+  const keepPriority = (position: number): number => {
     const slot = slots[position] as Slot
     return fleet.serving.has(slot.name) ? 2 : Number(slot.started)
   }
-  return [...groups].flatMap(([key, positions]) => [...positions].sort((left, right) => worth(right) - worth(left)).slice(counts.get(key) ?? 0))
+  return [...groups].flatMap(([key, positions]) => [...positions].sort((left, right) => keepPriority(right) - keepPriority(left)).slice(counts.get(key) ?? 0))
 }
 
-/** Moves a slot that has not started, or opens a new one. The moved one keeps its name: it is still one need. */
-function place (draft: SlotDraft, service: ServiceName, offer: Slot['offer'], position: number | undefined): void {
+/**
+ * Moves a slot that has not started to another offer, or creates a new slot. A moved slot keeps its name, because it
+ * still covers the same need.
+ */
+function fillNeed (draft: SlotDraft, service: ServiceName, offer: Slot['offer'], position: number | undefined): void {
   const moved = position === undefined ? undefined : draft.slots[position]
   if (position !== undefined && moved !== undefined) draft.slots[position] = { ...moved, offer: identityOf(offer) }
-  else draft.slots.push(openSlot(service, offer, draft.generation, draft.minted++, draft.now))
+  else draft.slots.push(createSlot(service, offer, draft.generation, draft.namesCreated++, draft.now))
 }
 
-/** Drains surplus instances, one by one, as long as what serves without them carries the need. */
-function retire (draft: SlotDraft, positions: readonly number[], mix: ServiceMix, fleet: FleetObservation): void {
-  const { problem } = withoutImpossible(mix.problem)
+/** Drains surplus instances one by one, as long as the remaining serving instances carry the need. */
+function drainSurplus (draft: SlotDraft, positions: readonly number[], mix: ServiceMix, fleet: FleetObservation): void {
+  const { problem } = limitToFeasible(mix.problem)
   const serving = wantedCounts(draft.slots.filter((slot) => fleet.serving.has(slot.name)), mix.service, problem)
   for (const position of positions) {
     const slot = draft.slots[position] as Slot
     const index = problem.offers.findIndex((offer) => offerKey(offer) === offerKey(slot.offer))
     if (fleet.serving.has(slot.name) && index >= 0) {
       serving[index] = (serving[index] ?? 0) - 1
-      if (shortfallOf(problem, serving) > NOISE) {
+      if (shortfallOf(problem, serving) > SHORTFALL_TOLERANCE) {
         serving[index] = (serving[index] ?? 0) + 1
         continue
       }
     }
-    draft.slots[position] = withdrawn(slot, draft.now)
+    draft.slots[position] = withdrawSlot(slot, draft.now)
   }
 }
 
-function withdrawn (slot: Slot, now: Milliseconds): Slot {
+function withdrawSlot (slot: Slot, now: Milliseconds): Slot {
   return { ...slot, state: slot.started ? 'leaving' : 'released', since: now, reason: 'mix' }
 }
 
-function openSlot (service: ServiceName, offer: Slot['offer'], generation: number, index: number, now: Milliseconds): Slot {
-  return { name: mintName(service, generation, index), service, offer: identityOf(offer), state: 'wanted', since: now, started: false, reason: 'mix' }
+function createSlot (service: ServiceName, offer: Slot['offer'], generation: number, index: number, now: Milliseconds): Slot {
+  return { name: createInstanceName(service, generation, index), service, offer: identityOf(offer), state: 'wanted', since: now, started: false, reason: 'mix' }
 }
 
 function identityOf (offer: Slot['offer']): Slot['offer'] {
--- a/src/capacity/weight-loads.ts
+++ b/src/capacity/weight-loads.ts
@@ -1,12 +1,12 @@
 /**
- * In which order engines are told to load weights. All loads share the weight store's rate; when all
- * start at once, all end late.
+ * Order in which engines load weights. All loads share the rate of the weight store. If they all started at once,
+ * they would all finish late.
  *
- * Loads are started one after another, as many at a time as it takes to use the store's rate, those
- * of the service that lacks most of its need first. This is the argument of "Managing Data Transfers
- * in Computer Clusters with Orchestra", section 4 (inter-transfer scheduling): transfers that share a
- * link fairly all finish at the end, those that are sent whole one after another finish earlier on
- * average, and which goes first is a matter of policy. docs/measurements/capacity.md has the figures.
+ * Loads are started one after another, with as many in progress as needed to use the store's rate. The service that
+ * lacks the largest fraction of its need comes first. This follows "Managing Data Transfers in Computer Clusters with
+ * Orchestra", section 4 (inter-transfer scheduling): transfers that share a link fairly all finish at the end,
+ * whereas sequential transfers finish earlier on average, and their order is a matter of policy. See
+ * docs/measurements/capacity.md for measurements.
  */
 import type { Milliseconds } from '../clock.js'
 import type { ServiceName, UpstreamName } from '../identifiers.js'
@@ -16,34 +16,34 @@
   readonly upstream: UpstreamName
   readonly service: ServiceName
   readonly bytes: number
-  /** Work a second that the engine serves once it has loaded. */
+  /** Work per second that the engine serves once the weights are loaded. */
   readonly capacity: number
 }
 
-/** How a service stands. */
+/** Need and supply of a service. */
 export interface ServiceSupply {
   readonly service: ServiceName
-  /** Work a second to be served. */
+  /** Work per second to be served. */
   readonly need: number
-  /** Work a second that is served, or will be by loads under way. */
+  /** Work per second that is served now or will be after the loads in progress. */
   readonly supply: number
 }
 
-/** How busy the store is. */
-export interface StoreUse {
-  /** Bytes that loads under way still lack. */
+/** Utilisation of the weight store. */
+export interface StoreUtilisation {
+  /** Bytes that loads in progress have yet to receive. */
   readonly outstanding: number
-  /** Bytes a millisecond that they were seen to take together; undefined before it was measured. */
+  /** Measured total rate of the loads in progress, in bytes per millisecond. Undefined before the first measurement. */
   readonly throughput: number | undefined
-  /** Bytes a millisecond that the store sends at most. */
+  /** Maximum rate of the store, in bytes per millisecond. */
   readonly rate: number
 }
 
-/** Loads under way that take less than this share of the store's rate leave room for another. */
-const FULL_USE = 0.9
+/** Fraction of the store's rate below which loads in progress leave room for another one. */
+const FULL_UTILISATION = 0.9
 
 /**
- * Pending loads in the order in which they should start.
+ * Sorts pending loads in the order in which they should start.
  *
  * @example
  * const [first] = orderLoads(pending, supplies)
@@ -54,7 +54,7 @@
   const queues = queuesByService(pending)
   const ordered: PendingLoad[] = []
   while (ordered.length < pending.length) {
-    const next = neediest(queues, need, supply)
+    const next = takeNextLoad(queues, need, supply)
     if (next === undefined) break
     ordered.push(next)
     supply.set(next.service, (supply.get(next.service) ?? 0) + next.capacity)
@@ -63,26 +63,26 @@
 }
 
 /**
- * The first of the ordered loads that may start now: enough to keep the store busy until the next
- * look, and one more where those under way are seen to leave some of its rate unused.
+ * Selects the first of the ordered loads that may start now: enough to keep the store busy until the next cycle, and
+ * one more if the loads in progress leave some of its rate unused.
  *
- * @param untilNextLook milliseconds
+ * @param untilNextCycle time until the next call, in milliseconds
  * @example
  * const startable = startableLoads(orderLoads(pending, supplies), use, SECOND)
  */
-export function startableLoads (ordered: readonly PendingLoad[], use: StoreUse, untilNextLook: Milliseconds): PendingLoad[] {
-  const isIdle = use.outstanding > 0 && use.throughput !== undefined && use.throughput < use.rate * FULL_USE
+export function startableLoads (ordered: readonly PendingLoad[], use: StoreUtilisation, untilNextCycle: Milliseconds): PendingLoad[] {
+  const hasSpareRate = use.outstanding > 0 && use.throughput !== undefined && use.throughput < use.rate * FULL_UTILISATION
   const startable: PendingLoad[] = []
   let outstanding = use.outstanding
   for (const load of ordered) {
-    if (outstanding >= use.rate * untilNextLook && !(isIdle && startable.length === 0)) break
+    if (outstanding >= use.rate * untilNextCycle && !(hasSpareRate && startable.length === 0)) break
     startable.push(load)
     outstanding += load.bytes
   }
   return startable
 }
 
-/** Per service, most work for each byte first; equal ones by name, so that the order is stable. */
+/** Pending loads per service, highest work per byte first. Ties are ordered by name, so that the order is deterministic. */
 function queuesByService (pending: readonly PendingLoad[]): Map<ServiceName, PendingLoad[]> {
   const queues = new Map<ServiceName, PendingLoad[]>()
   for (const load of [...pending].sort(byWorkPerByte)) {
@@ -93,15 +93,15 @@
   return queues
 }
 
-/** Takes the next load of the service that lacks the largest share of its need. */
-function neediest (queues: ReadonlyMap<ServiceName, PendingLoad[]>, need: ReadonlyMap<ServiceName, number>, supply: ReadonlyMap<ServiceName, number>): PendingLoad | undefined {
+/** Removes and returns the next load of the service that lacks the largest fraction of its need. */
+function takeNextLoad (queues: ReadonlyMap<ServiceName, PendingLoad[]>, need: ReadonlyMap<ServiceName, number>, supply: ReadonlyMap<ServiceName, number>): PendingLoad | undefined {
   let best: ServiceName | undefined
-  let bestLack = -Infinity
+  let maxShortage = -Infinity
   for (const [service, queue] of queues) {
     if (queue.length === 0) continue
     const wanted = need.get(service) ?? 0
-    const lack = wanted === 0 ? 0 : 1 - (supply.get(service) ?? 0) / wanted
-    if (lack > bestLack) [best, bestLack] = [service, lack]
+    const shortage = wanted === 0 ? 0 : 1 - (supply.get(service) ?? 0) / wanted
+    if (shortage > maxShortage) [best, maxShortage] = [service, shortage]
   }
   return best === undefined ? undefined : queues.get(best)?.shift()
 }
--- a/src/gateway/backpressure.ts
+++ b/src/gateway/backpressure.ts
@@ -1,6 +1,6 @@
 /** A node's side of upstreams that ask for less work, or for none, in what they answer. */
 import { createDepartures, createRateLimits, createRequestedPauses } from '../backpressure/index.js'
-import type { PaceChange, ToldDepartures, ToldLimits, UpstreamSignals } from '../backpressure/index.js'
+import type { RateLimitChange, ReportedDepartures, ReportedLimits, UpstreamSignals } from '../backpressure/index.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import type { EventLog } from '../events/index.js'
 import type { UpstreamLife, UpstreamRecord } from '../placement/index.js'
@@ -8,8 +8,8 @@
 
 /** What nodes tell each other of what upstreams asked. */
 export interface ToldBackpressure {
-  readonly limits: ToldLimits
-  readonly departures: ToldDepartures
+  readonly limits: ReportedLimits
+  readonly departures: ReportedDepartures
 }
 
 /** What upstreams have asked of the nodes, and what this one may still send. */
@@ -53,8 +53,8 @@
   const departures = createDepartures()
   const pauses = createRequestedPauses()
 
-  function tellLimits (changes: readonly PaceChange[], source: Source | 'shares'): void {
-    for (const { life, pace } of changes) {
+  function tellLimits (changes: readonly RateLimitChange[], source: Source | 'shares'): void {
+    for (const { incarnation: life, limit: pace } of changes) {
       const record = upstreams().find(life)
       if (record === undefined) continue
       log.info('upstream-limit', { upstream: record.id, service: record.service, rate: pace?.rate, pause: pace?.pause === undefined ? undefined : Math.round(pace.pause), source })
@@ -80,7 +80,7 @@
       if (signals.leaving && departures.heard(upstream.life, now)) depart(upstream.life, 'answer')
       if (signals.retryAfter !== undefined) pause(upstream, signals.retryAfter, now)
     },
-    isLeaving: departures.has,
+    isLeaving: departures.isLeaving,
     accepts: (life, now) => limits.allows(life, now) && pauses.wait(life, now) === 0,
     taken: limits.taken,
     wait: (life, now) => Math.max(limits.wait(life, now), pauses.wait(life, now)),
@@ -89,7 +89,7 @@
       tellLimits(limits.observe(others.map((told) => told.limits), clock.now()), 'peer')
       for (const life of departures.observe(others.map((told) => told.departures))) depart(life, 'peer')
     },
-    deal: (nodes) => tellLimits(limits.deal(nodes, clock.now()), 'shares'),
+    deal: (nodes) => tellLimits(limits.setNodes(nodes, clock.now()), 'shares'),
     limited: () => limits.all().length
   }
 }
--- a/src/gateway/notes.ts
+++ b/src/gateway/notes.ts
@@ -93,7 +93,7 @@
   const { organisation } = passage.accepted
   if (!passage.counted && organisation !== undefined) {
     passage.counted = true
-    context.usage.began(organisation.name, context.sharedWall())
+    context.usage.recordStart(organisation.name, context.sharedWall())
   }
   const waited = context.clock.now() - passage.arrival
   passage.firstAnswer ??= waited
--- a/src/gateway/usage-keeper.ts
+++ b/src/gateway/usage-keeper.ts
@@ -8,7 +8,7 @@
 import type { KeyValueEntry, LeaseId } from '../protocols/key-value.js'
 import { epochOf } from '../revision.js'
 import { repeat } from '../repeat.js'
-import { nextStep, sumCounts, usageJournalSchema, windowOf } from '../usage/index.js'
+import { nextUsageStep, sumCounts, usageJournalSchema, windowOf } from '../usage/index.js'
 import type { UsageCounts, UsageJournal, UsageWindows } from '../usage/index.js'
 import type { DutyHolder } from './duty-holder.js'
 import type { FollowContext } from './follow.js'
@@ -95,7 +95,7 @@
       written.set(window, counts)
     }
     for (const window of written.keys()) if (window < present - 2) written.delete(window)
-    windows.forgetBefore(present - 6)
+    windows.discardBefore(present - 6)
   }
 
   async function count (window: number): Promise<UsageCounts> {
@@ -121,7 +121,7 @@
     const entry = await store.get(JOURNAL_KEY, signal)
     const journal = entry && readJson(usageJournalSchema, entry.value)
     const epoch = entry === undefined ? store.epochs.current() ?? ONLY_EPOCH : epochOf(entry.revision)
-    const step = nextStep(journal, epoch, lastComplete)
+    const step = nextUsageStep(journal, epoch, lastComplete)
     switch (step.kind) {
       case 'wait':
         acknowledged = journal?.window ?? acknowledged
--- a/src/gossip/types.ts
+++ b/src/gossip/types.ts
@@ -1,6 +1,6 @@
 /** What nodes tell each other about themselves, passed on from node to node. */
 import * as z from 'zod'
-import { toldDeparturesSchema, toldLimitsSchema } from '../backpressure/index.js'
+import { reportedDeparturesSchema, reportedLimitsSchema } from '../backpressure/index.js'
 import { upstreamLifeSchema } from '../placement/index.js'
 import { versionEvidenceSchema } from '../rollout/index.js'
 
@@ -37,9 +37,9 @@
   /** What it saw of versions that are rolled out, by service. */
   rollouts: z.record(z.string(), versionEvidenceSchema),
   /** Rate limits that upstreams named in answers to it. */
-  limits: toldLimitsSchema.default({}),
+  limits: reportedLimitsSchema.default({}),
   /** Upstreams that said in answers to it that they leave. */
-  departures: toldDeparturesSchema.default([])
+  departures: reportedDeparturesSchema.default([])
 }
 
 /** Sums of what one or several nodes see and do. */
--- a/src/planner/engine-orders.ts
+++ b/src/planner/engine-orders.ts
@@ -1,6 +1,6 @@
 /** Orders to engines that do not report what is wanted, weight loads in their order. */
-import { compare, orderLoads, startableLoads, offerKey, shortfallOf, wantedCounts } from '../capacity/index.js'
-import type { Compliance, MixProblem, PendingLoad, ServiceOrder, ServiceSupply, StoreUse } from '../capacity/index.js'
+import { checkCompliance, orderLoads, startableLoads, offerKey, shortfallOf, wantedCounts } from '../capacity/index.js'
+import type { Compliance, MixProblem, PendingLoad, ServiceOrder, ServiceSupply, StoreUtilisation } from '../capacity/index.js'
 import type { Milliseconds } from '../clock.js'
 import type { Service } from '../configuration/index.js'
 import type { UpstreamName } from '../identifiers.js'
@@ -50,7 +50,7 @@
     const order = tenure.state.orders.find((candidate) => candidate.service === engine.service)
     if (order === undefined || engine.report.leaving) return []
     const { fencing, heldSince } = tenure
-    return [{ engine, order, compliance: compare(engine, order, { now, fencing, heldSince, sent: tenure.sent.get(engine.upstream) }) }]
+    return [{ engine, order, compliance: checkCompliance(engine, order, { now, fencing, heldSince, sent: tenure.sent.get(engine.upstream) }) }]
   })
 }
 
@@ -99,7 +99,7 @@
   return { service: service.name, need: problem.need, supply: problem.need - missing }
 }
 
-function useOf (context: PlannerContext, tenure: Tenure, status: NonNullable<Tenure['storeStatus']>['status'], underWay: readonly Standing[], sizes: ReadonlyMap<string, number>): StoreUse {
+function useOf (context: PlannerContext, tenure: Tenure, status: NonNullable<Tenure['storeStatus']>['status'], underWay: readonly Standing[], sizes: ReadonlyMap<string, number>): StoreUtilisation {
   const before = tenure.storeStatus
   const at = context.clock.now()
   tenure.storeStatus = { at, status }
--- a/src/planner/instance-orders.ts
+++ b/src/planner/instance-orders.ts
@@ -1,5 +1,5 @@
 /** Start and release orders to the cloud, as the written desired state has them. */
-import { noteRefusal, noteStart, offerKey, startOrderFor, strays } from '../capacity/index.js'
+import { recordRefusal, clearRefusal, offerKey, startOrderFor, findStrays } from '../capacity/index.js'
 import type { CloudInstance, OfferKey, PlannerEvent, Slot } from '../capacity/index.js'
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
@@ -50,11 +50,11 @@
     switch (answer.kind) {
       case 'started':
         started.push(answer.instance)
-        tenure.learned = { ...tenure.learned, refusals: noteStart(tenure.learned.refusals, key) }
+        tenure.learned = { ...tenure.learned, refusals: clearRefusal(tenure.learned.refusals, key) }
         break
       case 'refused':
         refused.add(key)
-        tenure.learned = { ...tenure.learned, refusals: noteRefusal(tenure.learned.refusals, key, context.clock.wall(), context.random) }
+        tenure.learned = { ...tenure.learned, refusals: recordRefusal(tenure.learned.refusals, key, context.clock.wall(), context.random) }
         events.push({ kind: 'start-refused', service: slot.service, offer: slot.offer, reason: answer.reason })
         break
       case 'ended':
@@ -72,7 +72,7 @@
  * const events = await releaseUnwanted(context, tenure, instances)
  */
 export async function releaseUnwanted (context: PlannerContext, tenure: Tenure, instances: readonly CloudInstance[]): Promise<PlannerEvent[]> {
-  const unwanted = strays(tenure.state, instances)
+  const unwanted = findStrays(tenure.state, instances)
   const present = new Set(instances.map((instance) => instance.name))
   const given = tenure.state.slots.filter((slot) => slot.state === 'released' && (present.has(slot.name) || !tenure.released.has(slot.name)))
   const events: PlannerEvent[] = []
--- a/src/planner/learning.ts
+++ b/src/planner/learning.ts
@@ -1,5 +1,5 @@
 /** Takes what a planner saw into what is learnt: demand, capacities, reclaims, recomputed tokens. */
-import { capacityKnown, capacityOf, demandOf, learnCapacity, observeDemand, observeReclaims, targetsOf, withCapacity, withDemand, withRecomputed } from '../capacity/index.js'
+import { learnedCapacity, capacityOf, demandOf, learnCapacity, observeDemand, observeReclaims, targetsOf, withCapacity, withDemand, withRecomputed } from '../capacity/index.js'
 import type { DesiredState, DomainObservation, Learned, Slot } from '../capacity/index.js'
 import type { Configuration, Service } from '../configuration/index.js'
 import type { Milliseconds } from '../clock.js'
@@ -41,7 +41,7 @@
 
 /** Capacity of a lost instance, as the problem of the mix has it. */
 function capacityLost (learned: Learned, service: Service, slot: Slot, { configuration, before }: Experience): number {
-  const known = capacityKnown(learned, service.name, slot.offer.machineClass)
+  const known = learnedCapacity(learned, service.name, slot.offer.machineClass)
   if (known === undefined) return 0
   const domains = new Set(before.slots.filter((one) => one.service === service.name).map((one) => one.offer.failureDomain)).size
   return capacityOf(known, targetsOf(configuration, service).betweenTokens, domains)
@@ -70,7 +70,7 @@
       quantile,
       queued: own.some((slot) => (reports.get(slot.name)?.waiting ?? 0) > 0)
     }
-    next = withCapacity(next, service.name, machineClass, learnCapacity(capacityKnown(next, service.name, machineClass), sample))
+    next = withCapacity(next, service.name, machineClass, learnCapacity(learnedCapacity(next, service.name, machineClass), sample))
   }
   return next
 }
--- a/src/planner/observation.ts
+++ b/src/planner/observation.ts
@@ -1,5 +1,5 @@
 /** A planner's look at the cloud, the instance list and the engines. */
-import { SHORTEST_DRAIN } from '../capacity/index.js'
+import { MIN_DRAIN_TIME } from '../capacity/index.js'
 import type { CloudInstance, DesiredState, FleetObservation, Offer, Slot } from '../capacity/index.js'
 import type { Milliseconds } from '../clock.js'
 import { MINUTE, SECOND } from '../clock.js'
@@ -166,6 +166,6 @@
   if (slot.state !== 'leaving') return false
   if (engine === undefined) return context.clock.wall() - slot.since >= PLAIN_DRAIN
   const isFresh = context.clock.now() - engine.reportedAt < FRESH
-  const isReportedSince = context.clock.wall() - slot.since >= SHORTEST_DRAIN + engine.report.ageMs
+  const isReportedSince = context.clock.wall() - slot.since >= MIN_DRAIN_TIME + engine.report.ageMs
   return isFresh && isReportedSince && engine.report.running + engine.report.waiting === 0
 }
--- a/src/usage/windows.ts
+++ b/src/usage/windows.ts
@@ -1,21 +1,23 @@
-/** Requests of each organisation that began to run, by window of the wall clock. */
+/** Counts of started requests per organisation, in fixed windows of wall time. */
 import type { Milliseconds } from '../clock.js'
 
-/** Requests by organisation. */
+/** Number of requests by organisation name. */
 export type UsageCounts = Readonly<Record<string, number>>
 
-/** Counts of one node. */
+/** Usage counters of one node. */
 export interface UsageWindows {
-  /** A request began to run at wall time `wall`. */
-  began (organisation: string, wall: Milliseconds): void
-  /** Counts of one window so far; empty when nothing began in it. */
+  /** Counts a request of `organisation` that started to run at wall time `wall`. */
+  recordStart (organisation: string, wall: Milliseconds): void
+  /** Counts of one window so far. Empty if no request started in it. */
   counts (window: number): UsageCounts
-  /** Forgets windows before this one. */
-  forgetBefore (window: number): void
+  /** Discards the counts of all windows before this one. */
+  discardBefore (window: number): void
 }
 
 /**
- * @param length of a window, in milliseconds
+ * Creates the usage counters of one node.
+ *
+ * @param length length of a window, in milliseconds
  * @example
  * const windows = createUsageWindows(5 * SECOND)
  * windows.began('hillside', clock.wall())
@@ -23,21 +25,21 @@
 export function createUsageWindows (length: Milliseconds): UsageWindows {
   const windows = new Map<number, Map<string, number>>()
   return {
-    began: (organisation, wall) => {
+    recordStart: (organisation, wall) => {
       const window = windowOf(wall, length)
       const counts = windows.get(window) ?? new Map<string, number>()
       counts.set(organisation, (counts.get(organisation) ?? 0) + 1)
       windows.set(window, counts)
     },
     counts: (window) => Object.fromEntries(windows.get(window) ?? []),
-    forgetBefore: (window) => {
+    discardBefore: (window) => {
       for (const known of windows.keys()) if (known < window) windows.delete(known)
     }
   }
 }
 
 /**
- * Number of the window that a wall time falls into; window 0 begins with 1970.
+ * Number of the window that contains a wall time. Window 0 starts at the Unix epoch.
  *
  * @example
  * windowOf(12_000, 5_000) // 2
@@ -47,15 +49,15 @@
 }
 
 /**
- * Sum of several nodes' counts.
+ * Sums the counts of several nodes.
  *
  * @example
  * sumCounts([{ a: 1 }, { a: 2, b: 1 }]) // { a: 3, b: 1 }
  */
-export function sumCounts (parts: readonly UsageCounts[]): UsageCounts {
+export function sumCounts (nodeCounts: readonly UsageCounts[]): UsageCounts {
   const sum: Record<string, number> = {}
-  for (const part of parts) {
-    for (const [organisation, count] of Object.entries(part)) sum[organisation] = (sum[organisation] ?? 0) + count
+  for (const counts of nodeCounts) {
+    for (const [organisation, count] of Object.entries(counts)) sum[organisation] = (sum[organisation] ?? 0) + count
   }
   return sum
 }
--- a/test/backpressure/departures.test.ts
+++ b/test/backpressure/departures.test.ts
@@ -1,26 +1,27 @@
+/** Departures that upstreams announce, and how nodes share them. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { createDepartures } from '../../src/backpressure/index.js'
 import { SECOND } from '../../src/clock.js'
 import { lifeOf } from '../../src/placement/index.js'
 
-const LIFE = lifeOf('i-1', 1)
+const INCARNATION = lifeOf('i-1', 1)
 
-describe('departures that answers tell of', () => {
-  it('are news once, and hold for good', () => {
+describe('departures announced in responses', () => {
+  it('are reported as new once, and are never revoked', () => {
     const departures = createDepartures()
-    assert.equal(departures.heard(LIFE, 0), true)
-    assert.equal(departures.heard(LIFE, 10), false)
-    assert.equal(departures.has(LIFE), true)
-    assert.equal(departures.has(lifeOf('i-1', 2)), false, 'the next life is another')
+    assert.equal(departures.heard(INCARNATION, 0), true)
+    assert.equal(departures.heard(INCARNATION, 10), false)
+    assert.equal(departures.isLeaving(INCARNATION), true)
+    assert.equal(departures.isLeaving(lifeOf('i-1', 2)), false, 'the next incarnation is not leaving')
   })
 
-  it('are told by those that heard them from the upstream, and for a time', () => {
+  it('are reported for a limited time by nodes that learnt them from the upstream', () => {
     const [first, second] = [createDepartures(), createDepartures()]
-    first.heard(LIFE, 0)
-    assert.deepEqual(second.observe([first.told(100), first.told(100)]), [LIFE])
+    first.heard(INCARNATION, 0)
+    assert.deepEqual(second.observe([first.told(100), first.told(100)]), [INCARNATION])
     assert.deepEqual(second.told(100), [])
     assert.deepEqual(first.told(60 * SECOND), [])
-    assert.deepEqual([first.has(LIFE), second.has(LIFE)], [true, true])
+    assert.deepEqual([first.isLeaving(INCARNATION), second.isLeaving(INCARNATION)], [true, true])
   })
 })
--- a/test/backpressure/pauses.test.ts
+++ b/test/backpressure/pauses.test.ts
@@ -1,16 +1,17 @@
+/** Pauses that upstreams request when they refuse a request. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { createRequestedPauses } from '../../src/backpressure/index.js'
 import { lifeOf } from '../../src/placement/index.js'
 
-const LIFE = lifeOf('i-1', 1)
+const INCARNATION = lifeOf('i-1', 1)
 
-describe('pauses that upstreams ask for', () => {
-  it('last as long as the longest that was asked for, and are of one life', () => {
+describe('pauses requested by upstreams', () => {
+  it('last until the latest requested end, and apply to one incarnation', () => {
     const pauses = createRequestedPauses()
-    pauses.heard(LIFE, 3_000, 0)
-    pauses.heard(LIFE, 1_000, 500)
-    assert.deepEqual([pauses.wait(LIFE, 1_000), pauses.wait(LIFE, 3_000)], [2_000, 0])
+    pauses.heard(INCARNATION, 3_000, 0)
+    pauses.heard(INCARNATION, 1_000, 500)
+    assert.deepEqual([pauses.wait(INCARNATION, 1_000), pauses.wait(INCARNATION, 3_000)], [2_000, 0])
     assert.equal(pauses.wait(lifeOf('i-1', 2), 1_000), 0)
   })
 })
--- a/test/capacity/demand.test.ts
+++ b/test/capacity/demand.test.ts
@@ -1,4 +1,4 @@
-/** What is learnt about demand, capacity and reclaims. */
+/** Learning of demand, capacity and reclaim rates. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -10,7 +10,7 @@
 const BETWEEN_TOKENS = 34
 const ZONE = failureDomainSchema.parse('zone-a')
 
-test('the need lies above a steady demand only by its variation, and ahead of a growing one', () => {
+test('the need exceeds a steady demand only by its variation, and anticipates a growing one', () => {
   let steady: Demand | undefined
   let growing: Demand | undefined
   for (let step = 0; step <= 60; step += 1) {
@@ -18,14 +18,14 @@
     steady = observeDemand(steady, { at, requestsPerSecond: 1, workPerSecond: 1_000 })
     growing = observeDemand(growing, { at, requestsPerSecond: 1, workPerSecond: 1_000 + step * 10 })
   }
-  const options = { quantile: 0.95, lead: 5 * MINUTE }
+  const options = { quantile: 0.95, leadTime: 5 * MINUTE }
   assert.ok(Math.abs(neededWork(steady!, options) - 1_000) < 1)
   assert.ok(neededWork(growing!, options) > 1_600 + 0.8 * 300)
 })
 
-// After a zone is lost every plan is late: the planner took what an instance does in a quiet hour for
-// all it can do, or what it never was seen to do for what it can.
-test('capacity at the target is foreseen from quieter hours, and never far beyond what was seen', () => {
+// Guards against late responses after the loss of a zone: the planner took the load of an instance in a quiet hour for
+// its full capacity, or assumed a capacity far beyond any observed load.
+test('capacity at the target is predicted from quieter hours, and stays near the observed maximum', () => {
   fc.assert(fc.property(fc.double({ min: 5, max: 15, noNaN: true }), fc.double({ min: 0.2, max: 1.5, noNaN: true }), (single, perAnswer) => {
     const interval = (running: number) => single + perAnswer * running
     const limit = (BETWEEN_TOKENS - single) / perAnswer * SECOND / BETWEEN_TOKENS
@@ -37,34 +37,34 @@
       highest = Math.max(highest, workPerSecond)
       known = learnCapacity(known, { workPerSecond, running, inTarget: 0.99, quantile: 0.95, queued: false })
     }
-    const foreseen = capacityOf(known!, BETWEEN_TOKENS, 3)
-    assert.ok(foreseen <= limit * 1.001 || foreseen <= highest)
-    assert.ok(foreseen >= highest && foreseen <= highest * 1.7)
+    const predicted = capacityOf(known!, BETWEEN_TOKENS, 3)
+    assert.ok(predicted <= limit * 1.001 || predicted <= highest)
+    assert.ok(predicted >= highest && predicted <= highest * 1.7)
   }), { seed: 1, numRuns: 50 })
 })
 
-test('late answers lower the capacity only where requests queued', () => {
-  const seen = learnCapacity(undefined, { workPerSecond: 600, running: 10, inTarget: 0.99, quantile: 0.95, queued: false })
+test('late responses lower the capacity only if requests queued', () => {
+  const known = learnCapacity(undefined, { workPerSecond: 600, running: 10, inTarget: 0.99, quantile: 0.95, queued: false })
   const late = { workPerSecond: 500, running: 10, inTarget: 0.5, quantile: 0.95 }
-  assert.equal(learnCapacity(seen, { ...late, queued: false }).highest, 600)
-  assert.ok(learnCapacity(seen, { ...late, queued: true }).highest < 500)
+  assert.equal(learnCapacity(known, { ...late, queued: false }).highest, 600)
+  assert.ok(learnCapacity(known, { ...late, queued: true }).highest < 500)
 })
 
-test('a storm raises a domain\'s rate, is one wave, and is forgotten', () => {
-  const calm = reclaimRate(emptyReclaimHistory(0), ZONE)
+test('a series of reclaims raises a domain\'s rate, counts as one wave, and decays', () => {
+  const prior = reclaimRate(emptyReclaimHistory(0), ZONE)
   let history = emptyReclaimHistory(0)
   for (let minute = 1; minute <= 4; minute += 1) {
     history = observeReclaims(history, minute * MINUTE, [{ failureDomain: ZONE, reclaimable: 10, reclaimed: 2 }])
   }
-  assert.ok(reclaimRate(history, ZONE).perInstanceHour > 10 * calm.perInstanceHour)
+  assert.ok(reclaimRate(history, ZONE).perInstanceHour > 10 * prior.perInstanceHour)
   assert.ok(history.domains[0]!.waves < 1.001)
   const later = observeReclaims(history, 14 * 24 * HOUR, [])
-  assert.ok(Math.abs(reclaimRate(later, ZONE).perInstanceHour - calm.perInstanceHour) < 0.01 * calm.perInstanceHour)
+  assert.ok(Math.abs(reclaimRate(later, ZONE).perInstanceHour - prior.perInstanceHour) < 0.01 * prior.perInstanceHour)
 })
 
-// The planner moves to the domain that takes machines back every hour: the reclaim was seen at once,
-// the tokens that it cost were reported minutes later, and the cost was learnt as nothing.
-test('recomputed tokens count for a reclaim also when they are reported later', () => {
+// Guards against moving to a domain that reclaims machines every hour: the reclaim was recorded at once, its
+// recomputed tokens were reported minutes later, and the cost of the reclaim was learnt as zero.
+test('recomputed tokens are attributed to reclaims even if reported later', () => {
   const service = serviceNameSchema.parse('plans')
   const prior = 40
   let learned = emptyLearned(0)
--- a/test/capacity/mix.test.ts
+++ b/test/capacity/mix.test.ts
@@ -1,4 +1,4 @@
-/** The cheapest mix: valid after every loss, near the exact optimum, steered by the targets. */
+/** Search of the cheapest mix: valid after every loss, close to the exact optimum, and controlled by the targets. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -16,19 +16,19 @@
   readonly rate: number
 }
 
-const factsArbitrary = fc.record<OfferFacts>({
+const offerFactsArbitrary = fc.record<OfferFacts>({
   price: fc.double({ min: 1, max: 4, noNaN: true }),
   discount: fc.double({ min: 0.2, max: 0.8, noNaN: true }),
   rate: fc.double({ min: 0.01, max: 2, noNaN: true })
 })
 
 const problemArbitrary = fc.record({
-  domains: fc.array(factsArbitrary, { minLength: 2, maxLength: 3 }),
+  domains: fc.array(offerFactsArbitrary, { minLength: 2, maxLength: 3 }),
   need: fc.integer({ min: 100, max: 1_800 }),
   recomputedBound: fc.oneof(fc.constant(Infinity), fc.double({ min: 0.2, max: 3, noNaN: true }))
 }).map(({ domains, need, recomputedBound }) => problemOf(domains, need, recomputedBound))
 
-test('whatever may be lost, the rest carries the need', () => {
+test('the remaining instances carry the need after every loss', () => {
   fc.assert(fc.property(problemArbitrary, (problem) => {
     const { counts, figures } = searchMix(problem)
     assert.ok(figures.shortfall <= NOISE)
@@ -52,26 +52,26 @@
   fc.assert(fc.property(problemArbitrary, (problem) => assert.deepEqual(searchMix(problem), searchMix(structuredClone(problem)))), { seed: 1, numRuns: 30 })
 })
 
-// Two zones are taken one after the other within minutes, and the evening's plans come late: each
-// zone's loss alone was survived, both together were never planned for although the week was stormy.
-test('two zones in a stormy week are one loss to survive, in a calm week they are not', () => {
+// Guards against late responses after two zones are reclaimed within minutes: the loss of either zone was planned
+// for, but not the loss of both, although the reclaim history made it likely.
+test('the loss of two zones is planned for if their reclaim rates are high, and not if they are low', () => {
   const waves = (wavesPerHour: number) => ['a', 'b', 'c', 'd'].map((zone) => ({ failureDomain: failureDomainSchema.parse(zone), wavesPerHour }))
   const options = { replacement: 5 * MINUTE, tolerance: 0.001 }
   assert.equal(lossesToSurvive(waves(0.04), options).length, 4)
   assert.equal(lossesToSurvive(waves(1), options).length, 4 + 6)
 })
 
-test('what cannot be had is not asked for, and the loss that is not survived is named', () => {
+test('unavailable capacity is not requested, and the loss that cannot be survived is reported', () => {
   const problem = problemOf([{ price: 2, discount: 0.4, rate: 0.1 }, { price: 2, discount: 0.4, rate: 0.1 }], 900, Infinity)
-  const offers = problem.offers.map((offer, index) => (index < 2 ? offer : { ...offer, most: 0 }))
+  const offers = problem.offers.map((offer, index) => (index < 2 ? offer : { ...offer, maxCount: 0 }))
   const { counts, unsurvivable } = searchMix({ ...problem, offers })
   assert.equal((counts[0] ?? 0) + (counts[1] ?? 0), 2)
   assert.deepEqual(unsurvivable.map((loss) => loss.failureDomains), [['zone-0']])
 })
 
-// The operators' two deployments buy alike although one fears its bill and the other recomputation:
-// the targets did not steer. With the same prices, the stricter target must hold better.
-test('the stricter of cost and recomputed tokens holds, and what gives is said', () => {
+// Guards against targets without effect: one deployment with a strict cost target and one with a strict target for
+// recomputed tokens bought the same instances. At equal prices, the stricter target must be met more closely.
+test('the stricter of cost and recomputed tokens is met, and exceeded targets are reported', () => {
   const problem = problemOf([{ price: 2, discount: 0.3, rate: 1 }, { price: 2, discount: 0.4, rate: 0.5 }, { price: 2, discount: 0.5, rate: 0.1 }], 60_000, Infinity)
   const mixes = (cost: number, recomputed: number) => chooseMixes([{ service: 'plans', problem }], { cost_per_thousand_answers: cost, recomputed_per_thousand_tokens: recomputed }, 360_000)
   const generous = mixes(10, 10)
@@ -91,14 +91,14 @@
 }
 
 function problemOf (domains: readonly OfferFacts[], need: number, recomputedBound: number): MixProblem {
-  const offers = domains.flatMap((facts, index): MixOffer[] => {
-    const common = { failureDomain: failureDomainSchema.parse(`zone-${index}`), machineClass: 'large', capacity: 600, most: Infinity }
+  const offers = domains.flatMap((offerFacts, index): MixOffer[] => {
+    const common = { failureDomain: failureDomainSchema.parse(`zone-${index}`), machineClass: 'large', capacity: 600, maxCount: Infinity }
     return [
-      { ...common, market: 'reclaimable', pricePerHour: facts.price * facts.discount, reclaimsPerHour: facts.rate },
-      { ...common, market: 'on-demand', pricePerHour: facts.price, reclaimsPerHour: 0 }
+      { ...common, market: 'reclaimable', pricePerHour: offerFacts.price * offerFacts.discount, reclaimsPerHour: offerFacts.rate },
+      { ...common, market: 'on-demand', pricePerHour: offerFacts.price, reclaimsPerHour: 0 }
     ]
   })
-  const waves = domains.map((facts, index) => ({ failureDomain: failureDomainSchema.parse(`zone-${index}`), wavesPerHour: facts.rate }))
+  const waves = domains.map((offerFacts, index) => ({ failureDomain: failureDomainSchema.parse(`zone-${index}`), wavesPerHour: offerFacts.rate }))
   return {
     need,
     offers,
@@ -109,8 +109,8 @@
   }
 }
 
-/** Cost of the best of all mixes with at most `most` instances of each offer. */
-function exactCost (problem: MixProblem, most: number): number {
+/** Cost of the best mix with at most `maxCount` instances of each offer, by enumeration. */
+function exactCost (problem: MixProblem, maxCount: number): number {
   const counts = problem.offers.map(() => 0)
   let best = Infinity
   const extend = (index: number, cost: number): void => {
@@ -120,7 +120,7 @@
       if (shortfall <= NOISE && recomputed <= problem.recomputedBound) best = cost
       return
     }
-    for (let count = 0; count <= most; count += 1) {
+    for (let count = 0; count <= maxCount; count += 1) {
       counts[index] = count
       extend(index + 1, cost + count * (problem.offers[index]?.pricePerHour ?? 0))
     }
--- a/test/capacity/orders.test.ts
+++ b/test/capacity/orders.test.ts
@@ -1,7 +1,7 @@
-/** Orders that come late, and engines that obey them. */
+/** Late orders to engines and instances, and the order of weight loads. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
-import { compare, PREDECESSOR_BOUND, strays, emptyDesiredState, mintName, startableLoads, orderLoads, serviceOrderSchema } from '../../src/capacity/index.js'
+import { checkCompliance, PREDECESSOR_ORDER_DELAY, findStrays, emptyDesiredState, createInstanceName, startableLoads, orderLoads, serviceOrderSchema } from '../../src/capacity/index.js'
 import type { CloudInstance, EngineState, ServiceOrder } from '../../src/capacity/index.js'
 import { SECOND } from '../../src/clock.js'
 import { serviceNameSchema, upstreamNameSchema } from '../../src/identifiers.js'
@@ -11,41 +11,42 @@
 const ENGINE = upstreamNameSchema.parse('engine-1')
 const WANTED = orderOf(7, 'model-b')
 
-// An engine loads model B, then A, then B again, and is away for minutes: the successor ordered B at
-// once, then its predecessor's last order arrived. The engine does not check fencing.
-test('a new holder lets its predecessor\'s last orders arrive first', () => {
+// Guards against an engine that loads model B, then A, then B again and is unavailable for minutes: the successor
+// ordered B at once, then the last order of its predecessor arrived. The engine does not check fencing.
+test('a new lease holder waits for the last orders of its predecessor', () => {
   const heldSince = 100 * SECOND
   const options = { fencing: 2, heldSince, sent: undefined }
   const early = engineOf({ models: ['model-a'], generation: 6, reportedAt: heldSince + 1, checksFencing: false })
-  assert.equal(compare(early, WANTED, { ...options, now: heldSince + 2 }).kind, 'wait')
-  const later = { ...early, reportedAt: heldSince + PREDECESSOR_BOUND }
-  assert.deepEqual(compare(later, WANTED, { ...options, now: heldSince + PREDECESSOR_BOUND + 1 }), { kind: 'differs', loads: true })
-  assert.equal(compare({ ...early, checksFencing: true }, WANTED, { ...options, now: heldSince + 2 }).kind, 'differs')
+  assert.equal(checkCompliance(early, WANTED, { ...options, now: heldSince + 2 }).kind, 'wait')
+  const later = { ...early, reportedAt: heldSince + PREDECESSOR_ORDER_DELAY }
+  assert.deepEqual(checkCompliance(later, WANTED, { ...options, now: heldSince + PREDECESSOR_ORDER_DELAY + 1 }), { kind: 'differs', loads: true })
+  assert.equal(checkCompliance({ ...early, checksFencing: true }, WANTED, { ...options, now: heldSince + 2 }).kind, 'differs')
 })
 
-// One engine answers with last week's model for days: a late order undid the present one, and nobody
-// looked again because the order had been sent.
-test('an engine that obeyed a late order is ordered again', () => {
+// Guards against an engine that serves an outdated model for days: a late order replaced the current one, and the
+// planner did not compare again because it had already sent its order.
+test('an engine that followed a late order is ordered again', () => {
   const sent = { generation: 7, fencing: 2, at: 200 * SECOND }
   const engine = engineOf({ models: ['model-a'], generation: 6, reportedAt: 203 * SECOND, checksFencing: false })
-  assert.equal(compare(engine, WANTED, { now: 204 * SECOND, fencing: 2, heldSince: 0, sent }).kind, 'differs')
+  assert.equal(checkCompliance(engine, WANTED, { now: 204 * SECOND, fencing: 2, heldSince: 0, sent }).kind, 'differs')
 })
 
-test('a report from before the last order decides nothing, and a load under way is left alone', () => {
+test('a report from before the last order is ignored, and a load in progress is not interrupted', () => {
   const options = { fencing: 2, heldSince: 0, sent: { generation: 7, fencing: 2, at: 200 * SECOND } }
   const old = engineOf({ models: ['model-a'], generation: 6, reportedAt: 199 * SECOND, checksFencing: false })
-  assert.equal(compare(old, WANTED, { ...options, now: 201 * SECOND }).kind, 'wait')
+  assert.equal(checkCompliance(old, WANTED, { ...options, now: 201 * SECOND }).kind, 'wait')
   const loading = engineOf({ models: [], generation: 7, reportedAt: 260 * SECOND, checksFencing: false })
-  assert.equal(compare(loading, WANTED, { ...options, now: 261 * SECOND }).kind, 'loading')
+  assert.equal(checkCompliance(loading, WANTED, { ...options, now: 261 * SECOND }).kind, 'loading')
 })
 
-// A planner that was paused for a minute gives back the machines that its successor has just bought.
-test('an instance that a later generation named is no stray to an older state', () => {
+// Guards against a planner that was paused for a minute and releases the machines that its successor has just
+// started.
+test('an instance of a later generation is not a stray for an older state', () => {
   const state = { ...emptyDesiredState(), generation: 5 }
-  assert.deepEqual(strays(state, [instanceNamed(4), instanceNamed(6)]), [mintName(SERVICE, 4, 0)])
+  assert.deepEqual(findStrays(state, [instanceNamed(4), instanceNamed(6)]), [createInstanceName(SERVICE, 4, 0)])
 })
 
-test('loads go to the service that lacks most, as many as keep the store busy', () => {
+test('loads start for the service that lacks most, as many as keep the store busy', () => {
   const other = serviceNameSchema.parse('questions')
   const pending = [1, 2, 3].flatMap((number) => [
     { upstream: upstreamNameSchema.parse(`plans-${number}`), service: SERVICE, bytes: 10, capacity: 50 },
@@ -69,5 +70,5 @@
 }
 
 function instanceNamed (generation: number): CloudInstance {
-  return { name: mintName(SERVICE, generation, 0), group: 'sample', service: SERVICE, failureDomain: 'zone-a', machineClass: 'large', market: 'reclaimable', state: 'live' } as unknown as CloudInstance
+  return { name: createInstanceName(SERVICE, generation, 0), group: 'sample', service: SERVICE, failureDomain: 'zone-a', machineClass: 'large', market: 'reclaimable', state: 'live' } as unknown as CloudInstance
 }
--- a/test/gateway/store-restored.test.ts
+++ b/test/gateway/store-restored.test.ts
@@ -127,7 +127,7 @@
   async function run (duration: Milliseconds): Promise<void> {
     for (let passed = 0; passed < duration; passed += STEP) {
       if (clock.now() % BACKUP_PERIOD === 0) backups.push(keys.backUp())
-      members.forEach(({ windows }, node) => { if (random.fraction() < 0.3 + 0.2 * node) windows.began('tejo', clock.wall()) })
+      members.forEach(({ windows }, node) => { if (random.fraction() < 0.3 + 0.2 * node) windows.recordStart('tejo', clock.wall()) })
       await clock.advance(STEP)
       tellVacancy()
       members.forEach(({ holder }, node) => {
--- a/test/gateway/usage-keeper.test.ts
+++ b/test/gateway/usage-keeper.test.ts
@@ -52,7 +52,7 @@
 
     let holder = startHolder('node-1')
     for (let step = 0; step < 60; step += 1) {
-      windows.began('tejo', clock.wall())
+      windows.recordStart('tejo', clock.wall())
       await clock.advance(500)
       if (step % 20 !== 12) continue
       holder.abort()
--- a/test/usage/usage.test.ts
+++ b/test/usage/usage.test.ts
@@ -1,25 +1,26 @@
+/** Usage windows, and the journal that makes usage reports repeatable. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
-import { createUsageWindows, nextStep, sumCounts, windowOf } from '../../src/usage/index.js'
+import { createUsageWindows, nextUsageStep, sumCounts, windowOf } from '../../src/usage/index.js'
 import type { UsageCounts, UsageJournal } from '../../src/usage/index.js'
 
 describe('usage windows', () => {
-  it('count each request in the window that its wall time falls into', () => {
+  it('count each request in the window of its wall time', () => {
     const windows = createUsageWindows(5_000)
-    windows.began('a', 4_999)
-    windows.began('a', 5_000)
-    windows.began('b', 5_001)
+    windows.recordStart('a', 4_999)
+    windows.recordStart('a', 5_000)
+    windows.recordStart('b', 5_001)
     assert.deepEqual(windows.counts(0), { a: 1 })
     assert.deepEqual(windows.counts(1), { a: 1, b: 1 })
-    windows.forgetBefore(1)
+    windows.discardBefore(1)
     assert.deepEqual(windows.counts(0), {})
     assert.equal(windowOf(10_000, 5_000), 2)
     assert.deepEqual(sumCounts([{ a: 1 }, { a: 2, b: 1 }]), { a: 3, b: 1 })
   })
 })
 
-/** A store with the journal, which may come back from a copy and give revisions out again. */
+/** A store with the journal. It can be restored from a backup and then reuse revisions. */
 interface JournalStore {
   readonly journal: UsageJournal | undefined
   readonly revision: number
@@ -27,12 +28,12 @@
 }
 
 describe('the journal of usage reports', () => {
-  // An organisation is billed twice: the holder of the duty reports a window and dies before the answer; its
-  // successor counts again, finds another number, and reports that. Any holder may die after any call, a call without an
-  // answer may be carried out or not, and the store may come back from a copy.
-  it('makes all holders report one set of counts for a window, in every interleaving', () => {
-    const event = fc.constantFrom('write', 'write-unanswered', 'write-lost', 'report', 'report-lost', 'acknowledge', 'time', 'die', 'back-up', 'restore')
-    fc.assert(fc.property(fc.array(event, { maxLength: 80, size: 'max' }), (events) => {
+  // Guards against billing an organisation twice: the holder of the duty reports a window and dies before the
+  // acknowledgement, and its successor counts again and reports another number. Any holder may die after any call, a
+  // call without an answer may or may not have been executed, and the store may be restored from a backup.
+  it('makes all holders report the same counts for a window, in every interleaving', () => {
+    const eventArbitrary = fc.constantFrom('write', 'write-unanswered', 'write-lost', 'report', 'report-lost', 'acknowledge', 'time', 'die', 'back-up', 'restore')
+    fc.assert(fc.property(fc.array(eventArbitrary, { maxLength: 80, size: 'max' }), (events) => {
       let store: JournalStore = { journal: undefined, revision: 0, epoch: 1 }
       let backup = store
       const reported = new Map<number, UsageCounts>()
@@ -44,9 +45,9 @@
         store = { ...store, journal, revision: store.revision + 1 }
         return true
       }
-      for (const one of events) {
-        const step = nextStep(seen.journal, seen.epoch, complete)
-        switch (one) {
+      for (const event of events) {
+        const step = nextUsageStep(seen.journal, seen.epoch, complete)
+        switch (event) {
           case 'time': complete += 1; break
           case 'back-up': backup = store; break
           case 'restore': store = { ...backup, epoch: store.epoch + 1 }; break
@@ -57,8 +58,8 @@
             if (step.kind !== 'decide' && step.kind !== 'close') break
             counted += 1
             const journal = { window: step.window, counts: { a: counted }, acknowledged: step.kind === 'close', epoch: seen.epoch }
-            if (one !== 'write-lost') write(journal)
-            // A holder without an answer, or with one of another epoch, reads the journal again before anything else.
+            if (event !== 'write-lost') write(journal)
+            // A holder that got no answer, or one of another epoch, reads the journal again first.
             seen = store
             break
           }
@@ -79,16 +80,16 @@
     }), { numRuns: 2_000, seed: 5 })
   })
 
-  it('makes up for a few windows after an outage and leaves older ones', () => {
+  it('reports a few past windows after an outage and skips older ones', () => {
     const journal = { window: 10, counts: {}, acknowledged: true, epoch: 1 }
-    assert.deepEqual(nextStep(journal, 1, 12), { kind: 'decide', window: 11 })
-    assert.deepEqual(nextStep(journal, 1, 40), { kind: 'decide', window: 36 })
-    assert.deepEqual(nextStep(journal, 1, 10), { kind: 'wait' })
+    assert.deepEqual(nextUsageStep(journal, 1, 12), { kind: 'decide', window: 11 })
+    assert.deepEqual(nextUsageStep(journal, 1, 40), { kind: 'decide', window: 36 })
+    assert.deepEqual(nextUsageStep(journal, 1, 10), { kind: 'wait' })
   })
 
-  it('closes what may have been reported where it is missing or of another epoch', () => {
-    assert.deepEqual(nextStep(undefined, 1, 3), { kind: 'close', window: 3 })
-    assert.deepEqual(nextStep({ window: 10, counts: { a: 1 }, acknowledged: false, epoch: 1 }, 2, 12), { kind: 'close', window: 12 })
-    assert.deepEqual(nextStep({ window: 13, counts: {}, acknowledged: true, epoch: 1 }, 2, 12), { kind: 'close', window: 13 })
+  it('closes windows that may have been reported when it is missing or of another epoch', () => {
+    assert.deepEqual(nextUsageStep(undefined, 1, 3), { kind: 'close', window: 3 })
+    assert.deepEqual(nextUsageStep({ window: 10, counts: { a: 1 }, acknowledged: false, epoch: 1 }, 2, 12), { kind: 'close', window: 12 })
+    assert.deepEqual(nextUsageStep({ window: 13, counts: {}, acknowledged: true, epoch: 1 }, 2, 12), { kind: 'close', window: 13 })
   })
 })
