--- a/src/gateway/notes.ts
+++ b/src/gateway/attempt-records.ts
@@ -1,4 +1,4 @@
-/** What one request's sends teach the node: health of upstreams, usage, broken runs, and lines for the log. */
+/** Records the outcomes of a request's attempts in upstream health, usage, quarantine, metrics and the log. */
 import type { Milliseconds } from '../clock.js'
 import type { Choice, UpstreamRecord } from '../placement/index.js'
 import type { GatewayContext } from './context.js'
@@ -6,12 +6,12 @@
 import type { Passage } from './passage.js'
 
 /**
- * A request goes to the upstream that was chosen for it.
+ * Records that a request is dispatched to the chosen upstream.
  *
  * @example
- * noteSent(context, passage, choice)
+ * recordDispatch(context, passage, choice)
  */
-export function noteSent (context: GatewayContext, passage: Passage, { upstream, reading, waiting, candidates }: Choice): void {
+export function recordDispatch (context: GatewayContext, passage: Passage, { upstream, reading, waiting, candidates }: Choice): void {
   const now = context.clock.now()
   context.metrics.record('waiting', now - passage.arrival, { route: passage.accepted.route.name })
   context.log.info('request-sent', {
@@ -27,24 +27,24 @@
 }
 
 /**
- * A send was not run by the upstream.
+ * Records that the upstream did not run an attempt.
  *
  * @example
- * noteUnrun(context, passage, upstream, 'full')
+ * recordNotRun(context, passage, upstream, 'full')
  */
-export function noteUnrun (context: GatewayContext, passage: Passage, upstream: UpstreamRecord, reason: NotRunReason): void {
+export function recordNotRun (context: GatewayContext, passage: Passage, upstream: UpstreamRecord, reason: NotRunReason): void {
   const { clock, upstreams, metrics, log } = context
   metrics.count('sends_not_run', { reason })
   log.info('send-not-run', { request: passage.accepted.head.id, upstream: upstream.id, reason })
   switch (reason) {
     case 'unreachable':
-      pause(context, upstream, reason)
+      pauseUpstream(context, upstream, reason)
       return
     case 'full':
       upstreams.health.full(upstream.life, clock.now())
       return
     case 'another-upstream':
-      // The address is another's now; the registry will say so as well.
+      // Another upstream uses the address now. The registry will report the change as well.
       upstreams.forget(upstream.life)
       break
     case 'refused':
@@ -52,14 +52,14 @@
 }
 
 /**
- * A run broke off or went silent.
+ * Records that an attempt failed while it ran, or stopped sending.
  *
  * @example
- * noteBroken(context, passage, upstream, 'other side closed')
+ * recordBrokenAttempt(context, passage, upstream, 'other side closed')
  */
-export function noteBroken (context: GatewayContext, passage: Passage, upstream: UpstreamRecord, reason: string): void {
+export function recordBrokenAttempt (context: GatewayContext, passage: Passage, upstream: UpstreamRecord, reason: string): void {
   const now = context.clock.now()
-  pause(context, upstream, reason)
+  pauseUpstream(context, upstream, reason)
   context.quarantine.broken(passage.fingerprint, now)
   context.log.info('attempt-broken', {
     request: passage.accepted.head.id,
@@ -72,24 +72,24 @@
 }
 
 /**
- * An upstream gave a whole answer.
+ * Records that an upstream has answered completely.
  *
  * @example
- * noteWhole(context, passage, upstream)
+ * recordCompleteAnswer(context, passage, upstream)
  */
-export function noteWhole (context: GatewayContext, passage: Passage, upstream: UpstreamRecord): void {
+export function recordCompleteAnswer (context: GatewayContext, passage: Passage, upstream: UpstreamRecord): void {
   context.upstreams.health.answered(upstream.life)
   context.quarantine.answered(passage.fingerprint, context.clock.now())
 }
 
 /**
- * An answer begins: the request has run. Counts it once among those of its organisation, and tells of one
- * that begins after its target, with what placed it.
+ * Records the start of an answer, which shows that the request runs. Counts the request once in the usage of its
+ * organisation, and logs an answer that starts after the route's target, with the load of the candidate upstreams.
  *
  * @example
- * noteBegun(context, passage, upstream)
+ * recordAnswerStart(context, passage, upstream)
  */
-export function noteBegun (context: GatewayContext, passage: Passage, upstream: UpstreamRecord): void {
+export function recordAnswerStart (context: GatewayContext, passage: Passage, upstream: UpstreamRecord): void {
   const { organisation } = passage.accepted
   if (!passage.counted && organisation !== undefined) {
     passage.counted = true
@@ -98,17 +98,17 @@
   const waited = context.clock.now() - passage.arrival
   passage.firstAnswer ??= waited
   context.metrics.record('first_answer', waited, { route: passage.accepted.route.name })
-  if (waited > passage.accepted.route.target) tellLate(context, passage, upstream, waited)
+  if (waited > passage.accepted.route.target) logLateAnswer(context, passage, upstream, waited)
 }
 
-/** One line as it begins, not for each failure while it lasts. */
-function pause ({ upstreams, clock, log }: GatewayContext, upstream: UpstreamRecord, reason: string): void {
+/** Counts a failure against the upstream's health. Logs only the start of a pause, not each further failure during the pause. */
+function pauseUpstream ({ upstreams, clock, log }: GatewayContext, upstream: UpstreamRecord, reason: string): void {
   const now = clock.now()
   if (upstreams.health.usable(upstream.life, now)) log.info('upstream-paused', { upstream: upstream.id, reason })
   upstreams.health.failed(upstream.life, now)
 }
 
-function tellLate (context: GatewayContext, passage: Passage, upstream: UpstreamRecord, waited: Milliseconds): void {
+function logLateAnswer (context: GatewayContext, passage: Passage, upstream: UpstreamRecord, waited: Milliseconds): void {
   const { accepted } = passage
   const candidates = context.upstreams.candidates(passage.service, new Set(), context.clock.now())
   context.log.info('answer-late', {
@@ -120,7 +120,7 @@
     waited: Math.round(waited),
     sends: passage.tried.size,
     promptTokens: accepted.head.tokens?.prompt,
-    // Requests and milliseconds of reading at each upstream; the one that answers is marked.
-    loads: candidates.map(({ load, upstream: one }) => `${one.life === upstream.life ? '*' : ''}${load.requests}/${Math.round(load.reading)}`).join(' ')
+    // Requests and milliseconds of prefill at each candidate. An asterisk marks the upstream that answers.
+    loads: candidates.map(({ load, upstream: candidate }) => `${candidate.life === upstream.life ? '*' : ''}${load.requests}/${Math.round(load.reading)}`).join(' ')
   })
 }
--- a/src/gateway/duties.ts
+++ b/src/gateway/duties.ts
@@ -1,4 +1,4 @@
-/** The duties of one node at a time, put together: who holds them, usage reports, orders for upstreams. */
+/** Starts the duties, which one node at a time performs: reporting usage and ordering upstreams. */
 import type { EngineSpeeds, UpstreamRecord } from '../placement/index.js'
 import type { RouteTable } from '../routing/index.js'
 import { sumWork } from '../scaling/index.js'
@@ -6,16 +6,16 @@
 import type { UsageWindows } from '../usage/index.js'
 import type { DutyHolder } from './duty-holder.js'
 import type { Fleet } from './fleet.js'
-import type { FollowContext } from './follow.js'
+import type { StoreContext } from './follow.js'
 import type { DutyCalls } from './ports.js'
 import { keepScaling } from './scaling-keeper.js'
 import type { GatewaySettings } from './settings.js'
 import type { UpstreamView } from './upstream-view.js'
 import { keepUsage } from './usage-keeper.js'
 
-/** What the duties need. */
+/** Dependencies of {@link startDuties}. */
 export interface DutiesOptions {
-  readonly context: FollowContext
+  readonly context: StoreContext
   readonly settings: GatewaySettings
   readonly incarnation: string
   readonly calls: DutyCalls
@@ -25,24 +25,26 @@
   readonly work: WorkMeter
   readonly upstreams: UpstreamView
   readonly speeds: EngineSpeeds
-  /** Whether an upstream's version carries the traffic. */
+  /** Whether regular traffic is routed to this upstream's version. */
   readonly carries: (upstream: UpstreamRecord) => boolean
   readonly table: () => RouteTable | undefined
 }
 
 /** Running duties. */
 export interface Duties {
-  /** Gives the duties up, and writes the counts that only this node has. */
+  /** Releases the lease and writes the usage counts that only this node holds. */
   release (): Promise<void>
-  /** Writes the counts of what was served since. */
-  writeCounts (): Promise<void>
+  /** Writes the usage counts that have changed since the last write. */
+  writeUsageCounts (): Promise<void>
 }
 
 /**
+ * Starts the usage reports and the scaling orders that the settings enable.
+ *
  * @example
- * const duties = keepDuties({ context, settings, incarnation, calls, holder, fleet, usage, work, upstreams, speeds, carries, table })
+ * const duties = startDuties({ context, settings, incarnation, calls, holder, fleet, usage, work, upstreams, speeds, carries, table })
  */
-export function keepDuties (options: DutiesOptions): Duties {
+export function startDuties (options: DutiesOptions): Duties {
   const { context, settings, calls, holder, fleet, incarnation } = options
   const { bounds } = settings
   const usage = settings.duties.usage
@@ -76,6 +78,6 @@
   }
   return {
     release: async () => { await Promise.allSettled([holder.release(), usage?.flush()]) },
-    writeCounts: async () => { await usage?.flush() }
+    writeUsageCounts: async () => { await usage?.flush() }
   }
 }
--- a/src/gateway/duty-holder.ts
+++ b/src/gateway/duty-holder.ts
@@ -1,72 +1,75 @@
 /**
- * The duties of one node at a time: a lease of the store with the fencing number that goes with each call.
+ * Decides which node performs the duties: a lease in the store, with a fencing number that each call carries.
  *
- * Failure guarded against: a node loses the duties, another acts, and the first takes them back within the
- * time in which both may still be acting; their calls would alternate. A node that takes the lease waits
- * until its own last call, or its own start if it may have held the lease in an earlier life, is older
- * than the lease's time. So does a node that takes it after the store came back from a copy without it: the
- * holder of before may not know yet.
+ * Failure guarded against: a node loses the lease, a second node makes calls, and the first node acquires the lease again
+ * while calls of both may still be on the way, so that their calls alternate. A node that acquires the lease therefore
+ * makes no call until one lease time after its own last call, or after its own start if an earlier incarnation may have
+ * held the lease. The same wait applies after the store is restored from a backup that lacks the lease, since the
+ * previous holder may not know yet that it has lost the lease.
  */
 import type { Milliseconds } from '../clock.js'
 import type { Incarnation } from '../identifiers.js'
 import { createLeaseKeeper } from '../protocols/lease-keeper.js'
 import { epochOf } from '../revision.js'
-import type { FollowContext } from './follow.js'
+import type { StoreContext } from './follow.js'
 import type { DutyProof } from './ports.js'
 
-/** The duties as this node holds them. */
+/** This node's hold on the duties. */
 export interface DutyHolder {
-  /** What to call with now; undefined while another node holds the duties. */
+  /** Proof to send with a call made now; undefined while this node may not make calls. */
   proof (): DutyProof | undefined
-  /** The platform has seen a higher number: nothing more under this one. */
+  /** Reports that the platform has seen a higher fencing number. No further call is made under this proof. */
   superseded (proof: DutyProof): void
-  /** A call is made now. */
-  acted (): void
-  /** The lease's key was seen to vanish. */
-  vacant (): void
+  /** Records that a call is made now. */
+  recordCall (): void
+  /** Tries to acquire the lease soon. To be called when the key of the lease has been deleted or may never have existed. */
+  onLeaseDeleted (): void
+  /** Gives up the lease, so that another node needn't wait until it expires. */
   release (): Promise<void>
 }
 
-/** What the holder needs. */
+/** Dependencies of {@link createDutyHolder}. */
 export interface DutyHolderOptions {
-  readonly context: FollowContext
-  /** Name of this node, which calls carry. */
+  readonly context: StoreContext
+  /** Name of this node, which the proof carries. */
   readonly node: string
   readonly incarnation: string
   readonly leaseTime: Milliseconds
-  /** No life of any node has acted before this one started. */
+  /** Whether no incarnation of any node has made a call before this node started. */
   readonly firstStart: boolean
-  /** This node may take the duties over; where it may not, others do. */
+  /** Whether this node may acquire the lease. */
   readonly isCandidate: () => boolean
 }
 
-/** Key of the lease. */
+/** Store key of the lease. */
 export const DUTY_KEY = 'hornbeamgap/fleet/duty'
 
-/** A call is made only if the lease holds for this much longer: what a call takes to arrive. */
-const MARGIN: Milliseconds = 300
+/** Minimum remaining time of the lease at which a call is made: the time that a call takes to arrive. */
+const CALL_MARGIN: Milliseconds = 300
 
-/** Nodes that see the key vanish ask for it spread over this time, so that not all call at once. */
-const RACE_SPREAD: Milliseconds = 250
+/** Maximum random delay before acquiring a lease that has ended, so that not all nodes call the store at once. */
+const ACQUIRE_JITTER: Milliseconds = 250
 
-/** Part of the lease's time that others have before those that have never acted. */
-const HEAD_START_PART = 0.5
+/** Fraction of the lease time after a restore of the store during which only former holders acquire the lease. */
+const FORMER_HOLDER_FRACTION = 0.5
 
-/** Nodes look at the key this often even if the watch shows nothing. */
-const WAITING_PERIOD: Milliseconds = 15_000
+/** Time between two reads of the key by a node without the lease, in case the watch has missed its deletion. */
+const KEY_CHECK_PERIOD: Milliseconds = 15_000
 
 /**
+ * Creates this node's hold on the duties and starts trying to acquire the lease while this node is a candidate.
+ *
  * @example
- * const duty = createDutyHolder({ context, node, incarnation, leaseTime: 3 * SECOND, firstStart: false })
+ * const duty = createDutyHolder({ context, node, incarnation, leaseTime: 3 * SECOND, firstStart: false, isCandidate: () => true })
  * const proof = duty.proof()
  */
 export function createDutyHolder (options: DutyHolderOptions): DutyHolder {
   const { context, node, incarnation, leaseTime } = options
   const { clock, random, log, signal, store } = context
-  let lastActed = options.firstStart ? -Infinity : clock.now()
+  let lastCallAt = options.firstStart ? -Infinity : clock.now()
   let fencing = 0
-  let mayActFrom: Milliseconds = 0
-  let supersededUpTo = 0
+  let callsAllowedFrom: Milliseconds = 0
+  let highestSuperseded = 0
   let restoredAt: Milliseconds = -Infinity
   const lease = createLeaseKeeper({
     keyValue: store,
@@ -75,46 +78,47 @@
     log,
     signal,
     holder: incarnation as Incarnation,
-    isCandidate: () => options.isCandidate() && headStart() === 0,
-    terms: { name: 'duty', key: DUTY_KEY, time: leaseTime, renewal: leaseTime / 3, waiting: WAITING_PERIOD }
+    isCandidate: () => options.isCandidate() && acquireDelay() === 0,
+    terms: { name: 'duty', key: DUTY_KEY, time: leaseTime, renewal: leaseTime / 3, waiting: KEY_CHECK_PERIOD }
   })
 
   /**
-   * What is left of the time after a return of the store in which only those that have acted ask for the lease: they know
-   * what they did, which the store may have lost, and nobody acts for a lease's time anyway.
+   * Remaining delay before this node may acquire the lease. After the store is restored from a backup, former holders go
+   * first, since they know about calls that the store may have lost. This delays no call, because no node makes a call
+   * within one lease time of the restore.
    */
-  function headStart (): Milliseconds {
-    return fencing === 0 ? Math.max(0, restoredAt + leaseTime * HEAD_START_PART - clock.now()) : 0
+  function acquireDelay (): Milliseconds {
+    return fencing === 0 ? Math.max(0, restoredAt + leaseTime * FORMER_HOLDER_FRACTION - clock.now()) : 0
   }
 
-  /** Asks for the lease, which nobody holds, at another moment than the other nodes. */
-  function race (): void {
-    clock.sleep(headStart() + random.fraction() * RACE_SPREAD, signal).then(lease.refresh).catch(() => {})
+  /** Tries to acquire the free lease after a random delay, so that the nodes don't call at the same time. */
+  function acquireAfterDelay (): void {
+    clock.sleep(acquireDelay() + random.fraction() * ACQUIRE_JITTER, signal).then(lease.refresh).catch(() => {})
   }
 
   store.epochs.onRestore(() => {
     restoredAt = clock.now()
-    race()
+    acquireAfterDelay()
   })
 
   return {
     proof: () => {
-      const held = lease.held(MARGIN)
-      if (held === undefined || held.fencing <= supersededUpTo) return undefined
+      const held = lease.held(CALL_MARGIN)
+      if (held === undefined || held.fencing <= highestSuperseded) return undefined
       if (epochOf(held.fencing) !== store.epochs.current()) return undefined
       if (held.fencing !== fencing) {
         fencing = held.fencing
-        mayActFrom = Math.max(lastActed, restoredAt) + leaseTime
+        callsAllowedFrom = Math.max(lastCallAt, restoredAt) + leaseTime
       }
-      return clock.now() < mayActFrom ? undefined : { holder: node, fencing }
+      return clock.now() < callsAllowedFrom ? undefined : { holder: node, fencing }
     },
     superseded: (proof) => {
-      supersededUpTo = Math.max(supersededUpTo, proof.fencing)
+      highestSuperseded = Math.max(highestSuperseded, proof.fencing)
       log.warn('duty-superseded', { fencing: proof.fencing })
       lease.release().catch((error) => log.info('duty-release-failed', { error: String(error) }))
     },
-    acted: () => { lastActed = clock.now() },
-    vacant: race,
+    recordCall: () => { lastCallAt = clock.now() },
+    onLeaseDeleted: acquireAfterDelay,
     release: lease.release
   }
 }
--- a/src/gateway/fleet.ts
+++ b/src/gateway/fleet.ts
@@ -1,4 +1,4 @@
-/** The other nodes: their records, what they tell, and which of them this one talks to. */
+/** Membership of this node in the fleet: records and states of the other nodes, and the peers that this node exchanges with. */
 import type { Server } from 'node:http'
 import type { Milliseconds } from '../clock.js'
 import { chooseAddresses, createSharedWall, EQUALS, orderFor, pickAggregators } from '../gossip/index.js'
@@ -8,122 +8,127 @@
 import type { BrokenRuns } from '../quarantine/index.js'
 import { UNKNOWN_NODES } from '../quota/index.js'
 import type { UsageCounts } from '../usage/index.js'
-import type { ConfigurationKeeper } from './configuration-keeper.js'
-import type { FollowContext } from './follow.js'
-import { keepGossip } from './gossip-keeper.js'
-import { keepNodeRecords } from './node-records.js'
+import type { ConfigurationWatcher } from './configuration-watcher.js'
+import type { StoreContext } from './follow.js'
+import { createGossipExchange } from './gossip-exchange.js'
+import { startNodeRegistration } from './node-records.js'
 import type { NodeRecord } from './node-records.js'
 import { createPeerLinks, createPeerLinkServer } from './peer-link.js'
-import type { ReadingNote } from './peer-link.js'
+import type { PrefillNotice } from './peer-link.js'
 import { createReachablePeers } from './reachable-peers.js'
-import type { Relay } from './relay.js'
-import { createReporting } from './reporting.js'
+import type { StoreUpdateExchange } from './store-updates.js'
+import { createMemberReporter } from './reporting.js'
 
-/** What a node tells of itself, beside its record. */
-export type OwnReport = Omit<NodeState, keyof NodeRecord | 'sequence' | 'nodes'>
+/** State that a node reports about itself, without the fields of its record. */
+export type LocalReport = Omit<NodeState, keyof NodeRecord | 'sequence' | 'nodes'>
 
-/** The other nodes. */
+/** This node's view of the other nodes. */
 export interface Fleet {
-  /** What the other nodes tell that were heard of within seconds, each report of one or more of them. */
+  /** Reports of the live other nodes. A report covers one node, or the sums of several. */
   others (): FleetReport[]
-  /** Requests in flight of the other live nodes, by who tells of them. */
+  /** Requests in flight at the other live nodes, by the source of the report. */
   loads (): ReadonlyMap<string, InFlight>
-  /** Broken runs that other nodes tell, dead ones included while they are remembered. */
+  /** Broken runs reported by other nodes, including dead nodes whose state is still kept. */
   brokenRuns (): readonly BrokenRuns[]
-  /** Counts of a window by incarnation, of the nodes that told this one themselves, dead ones included while they are remembered. */
+  /** Usage counts of a window by incarnation, for nodes whose own state this node holds, including dead nodes whose state is still kept. */
   usage (window: number): ReadonlyMap<string, UsageCounts>
-  /** The same of the nodes that report to this one. */
+  /** Usage counts of a window by incarnation, for the members that report to this node. */
   memberUsage (window: number): ReadonlyMap<string, UsageCounts>
-  /** Since the live node that was silent for the longest time was heard of; undefined when there is no other. */
-  oldest (): Milliseconds | undefined
-  /** Nodes that may serve, as many as any source knows of, and those that were there lately: a share that is too small breaks no bound. */
-  size (): number
-  /** Nodes that are registered or heard of now. */
-  present (): number
-  /** Names of the nodes that may serve, this one included; none before the records were read. */
-  names (): readonly string[]
-  /** Another node reads the store and hears of the others for this one. */
+  /** Time since the last update of the live node that has been silent longest; undefined when there is no other live node. */
+  maxSilence (): Milliseconds | undefined
+  /**
+   * Upper estimate of the number of serving nodes: the highest count of any source, including recently departed nodes.
+   * An estimate that is too high gives each node a smaller share of a limit, so that the limit still holds.
+   */
+  maxNodeCount (): number
+  /** Number of nodes that are registered or that reports cover now, this node included. */
+  knownNodeCount (): number
+  /** Names of the nodes that may be serving, this node included; empty before the records have been read. */
+  nodeNames (): readonly string[]
+  /** Whether this node is a member: it reports to an aggregator and receives sums and store updates from there. */
   isMember (): boolean
-  /** Addresses of nodes that take requests, as one caller gets them. */
+  /** Addresses of ready nodes, in the selection for this caller. */
   addresses (caller: string): readonly string[]
-  /** Wall time that the nodes agree on. */
+  /** Wall-clock time that the nodes agree on, in milliseconds. */
   wall (): Milliseconds
-  tellReading (upstream: UpstreamLife, reading: Milliseconds): void
-  /** Leaves the records and tells some nodes at once. */
+  /** Notifies other nodes of a prompt that was dispatched to an upstream and needs this prefill time there. */
+  announcePrefill (upstream: UpstreamLife, prefill: Milliseconds): void
+  /** Removes this node's record from the store; an aggregator exchanges its state with some peers at once. */
   withdraw (): Promise<void>
+  /** Closes the connections to other nodes. */
   close (): Promise<void>
 }
 
-/** What the fleet needs. */
+/** Dependencies of {@link joinFleet}. */
 export interface FleetOptions {
-  readonly context: FollowContext & { readonly relay: Relay }
-  /** This node's record but for the address for other nodes, which is known once it listens. */
+  readonly context: StoreContext & { readonly storeUpdates: StoreUpdateExchange }
+  /** This node's record without its peer address, which is known once the peer server listens. */
   readonly self: Omit<NodeRecord, 'peer'>
-  /** Listens with the server that other nodes ask. @returns its address */
+  /** Starts listening with the server for requests of other nodes. @returns its address */
   readonly listen: (server: Server) => Promise<string>
-  readonly configuration: ConfigurationKeeper
-  /** Addresses that a caller takes from one answer. */
-  readonly mostAddresses: number
-  /** This node takes requests. */
+  readonly configuration: ConfigurationWatcher
+  /** Maximum number of addresses in one answer to a caller. */
+  readonly maxAddresses: number
+  /** Whether this node accepts requests. */
   readonly isReady: () => boolean
-  /** What this node tells now. */
-  readonly report: () => OwnReport
-  /** Other nodes have told something new. */
+  /** Current state of this node. */
+  readonly report: () => LocalReport
+  /** Called when new state of other nodes has been received. */
   readonly heard: () => void
-  /** Another node has sent a long prompt. */
-  readonly reading: (note: ReadingNote) => void
-  /** The nodes' records have been read for the first time. */
-  readonly listed: () => void
-  /** A key beside the nodes' records has vanished. */
-  readonly otherGone: (key: string) => void
+  /** Called when another node has dispatched a long prompt. */
+  readonly reading: (notice: PrefillNotice) => void
+  /** Called when the node records have been read for the first time. */
+  readonly onRecordsLoaded: () => void
+  /** Called when a key of the fleet prefix that is not a node record has been deleted. */
+  readonly onOtherKeyDeleted: (key: string) => void
 }
 
-/** Connections to one other node: exchanges are short. */
-const PEER_CONNECTIONS = 2
+/** Maximum number of connections to one peer. Two are enough since exchanges are short. */
+const MAX_CONNECTIONS_PER_PEER = 2
 
 /**
- * With one exchange of each aggregator in this time, what one says has reached sixteen others after about four rounds,
- * and nine after three. Members report as often.
+ * Mean time between two exchanges of an aggregator, and between two reports of a member. With one exchange per period and
+ * aggregator, an update reaches nine other aggregators after about three rounds and sixteen after about four.
  */
-const PERIOD: Milliseconds = 400
+const EXCHANGE_PERIOD: Milliseconds = 400
 
 /**
- * Reading of a prompt from which on all nodes of a fleet with aggregators are told at once.
+ * Minimum prefill time of a prompt that is announced to all nodes at once in a fleet with members.
  *
- * Load pattern answered: three prompts in a hundred keep an engine for 0.3 to 1.5 s, and the sums that nodes hear are one to
- * two seconds old; requests went to engines that looked idle and waited behind such a prompt for as long as it took. With
- * 22 nodes four of 507 plans begin late in place of eleven, the slowest in a hundred after 1.1 s in place of 1.7; five
- * notes a second at 160 requests.
+ * Failure guarded against: about 3% of the prompts occupy an engine for 0.3 to 1.5 s, while the load sums that nodes
+ * receive are 1 to 2 s old. Without a notice, nodes dispatch further requests to an engine that looks idle, and these
+ * wait until the prefill has ended. With notices and 22 nodes, 4 of 507 answers start late instead of 11, and the 99th
+ * percentile of the time to the first token falls from 1.7 to 1.1 s. 160 requests per second cause 5 notices per second.
  */
-const LONG_READING: Milliseconds = 300
+const MIN_ANNOUNCED_PREFILL: Milliseconds = 300
 
 /**
- * Listens for other nodes, registers this one and begins to exchange states or to report.
+ * Starts the peer server, registers this node in the store, and starts exchanging states or reporting to an aggregator.
  *
- * @throws when the address for other nodes can't be listened on
+ * @throws when the peer server can't listen on its address
  * @example
- * const fleet = await joinFleet({ context, self, listen, configuration, mostAddresses, isReady, report, heard, reading, listed, otherGone })
+ * const fleet = await joinFleet({ context, self, listen, configuration, maxAddresses, isReady, report, heard, reading, onRecordsLoaded, onOtherKeyDeleted })
  */
 export async function joinFleet (options: FleetOptions): Promise<Fleet> {
   const { context, configuration } = options
-  const { clock, random, log, signal, relay } = context
+  const { clock, random, log, signal, storeUpdates } = context
   const peer = await options.listen(createPeerLinkServer({
     exchange: (message) => gossip.answers.exchange(message),
     report: (message) => gossip.answers.report(message),
     configuration: () => gossip.answers.configuration(),
-    reading: (note) => {
-      options.reading(note)
-      gossip.passReading(note)
+    reading: (notice) => {
+      options.reading(notice)
+      gossip.forwardPrefillNotice(notice)
     }
   }))
   const self: NodeRecord = { ...options.self, peer }
   const wall = createSharedWall()
-  const connections = createConnections(PEER_CONNECTIONS)
+  const connections = createConnections(MAX_CONNECTIONS_PER_PEER)
   const link = createPeerLinks(connections, { sent: 0, received: 0 })
   const reachable = createReachablePeers(clock, log, signal)
-  const records = keepNodeRecords(context, self, { otherGone: options.otherGone, listed: options.listed })
-  const describe = (): NodeState => ({ ...self, ...options.report(), nodes: 1, sequence: Math.round(clock.now()) })
-  const gossip = keepGossip({
+  const records = startNodeRegistration(context, self, { onOtherKeyDeleted: options.onOtherKeyDeleted, onLoaded: options.onRecordsLoaded })
+  const localState = (): NodeState => ({ ...self, ...options.report(), nodes: 1, sequence: Math.round(clock.now()) })
+  const gossip = createGossipExchange({
     incarnation: self.incarnation,
     wall,
     clock,
@@ -132,118 +137,119 @@
     signal,
     link,
     reachable,
-    describe,
+    localState,
     ownAddress: peer,
     ownConfiguration: () => configuration.table()?.configuration.version ?? 0,
     addresses: () => aggregators().map((record) => record.peer),
     configuration: configuration.text,
     offerConfiguration: configuration.offer,
-    newsFor: relay.newsFor,
+    updatesFor: storeUpdates.updatesFor,
     heard: options.heard
   })
-  const reporting = createReporting({ clock, signal, wall, relay, reachable, link, describe, fetchConfiguration: gossip.fetchConfiguration, heard: options.heard })
+  const reporter = createMemberReporter({ clock, signal, wall, storeUpdates, reachable, link, localState, fetchConfiguration: gossip.fetchConfiguration, heard: options.heard })
 
-  let reportsTo: string | undefined
+  let currentAggregator: string | undefined
 
   function aggregators (): NodeRecord[] {
     return pickAggregators(records.all())
   }
 
-  /** A node that the store turns away counts itself in, though its record has lapsed there. */
-  function isAppointed (): boolean {
+  /** Includes this node's own record even where the store has rejected it or its lease has expired. */
+  function isSelectedAggregator (): boolean {
     return pickAggregators([...records.all().filter(({ name }) => name !== self.name), self]).some(({ name }) => name === self.name)
   }
 
   function isMember (): boolean {
-    return reporting.isAttached() && !isAppointed()
+    return reporter.hasAggregator() && !isSelectedAggregator()
   }
 
-  /** A node that finds no aggregator does what one does, so that it hears of the others by whoever answers. */
-  async function takeTurn (): Promise<void> {
-    const answered = isAppointed() ? undefined : await reporting.report(orderFor(self, aggregators()).map((record) => record.peer))
-    tellRole(answered)
-    if (answered === undefined) gossip.exchangeOnce()
+  /** Reports to an aggregator. A node that reaches none exchanges states as an aggregator does, so that any peer that answers keeps it up to date. */
+  async function reportOrExchange (): Promise<void> {
+    const aggregator = isSelectedAggregator() ? undefined : await reporter.report(orderFor(self, aggregators()).map((record) => record.peer))
+    logRoleChange(aggregator)
+    if (aggregator === undefined) gossip.exchangeOnce()
   }
 
-  /** A node begins as an aggregator; where all are, there is nothing to tell. */
-  function tellRole (aggregator: string | undefined): void {
-    if (aggregator === reportsTo || signal.aborted) return
-    reportsTo = aggregator
+  /** Logs the role only when it changes. Every node starts as an aggregator, and small fleets consist of aggregators only. */
+  function logRoleChange (aggregator: string | undefined): void {
+    if (aggregator === currentAggregator || signal.aborted) return
+    currentAggregator = aggregator
     log.info('exchange-role', { role: aggregator === undefined ? 'aggregator' : 'member', aggregator, nodes: records.all().length })
   }
 
-  async function run (): Promise<void> {
-    await clock.sleep(PERIOD * random.fraction(), signal).catch(() => {})
+  async function runExchanges (): Promise<void> {
+    await clock.sleep(EXCHANGE_PERIOD * random.fraction(), signal).catch(() => {})
     while (!signal.aborted) {
-      await takeTurn()
-      await clock.sleep(PERIOD * (0.75 + 0.5 * random.fraction()), signal).catch(() => {})
+      await reportOrExchange()
+      await clock.sleep(EXCHANGE_PERIOD * (0.75 + 0.5 * random.fraction()), signal).catch(() => {})
     }
   }
 
-  run().catch((error) => log.error('gossip-ended', { error: String(error) }))
+  runExchanges().catch((error) => log.error('gossip-ended', { error: String(error) }))
 
-  /** The other aggregators, and the nodes that report here. */
-  function heardDirectly (): NodeState[] {
+  /** States of the other aggregators and of the members that report to this node. */
+  function directlyReceivedStates (): NodeState[] {
     const now = clock.now()
     return [...gossip.table.live(now), ...gossip.members.live(now)]
   }
 
   function others (): FleetReport[] {
-    if (!isMember()) return heardDirectly()
-    const told = reporting.others()
-    return told === undefined ? [] : [told]
+    if (!isMember()) return directlyReceivedStates()
+    const received = reporter.others()
+    return received === undefined ? [] : [received]
   }
 
   function loads (): ReadonlyMap<string, InFlight> {
-    if (!isMember()) return new Map(heardDirectly().map((state) => [state.incarnation, state.inFlight]))
-    const told = reporting.others()
-    return new Map(told === undefined ? [] : [['others', told.inFlight]])
+    if (!isMember()) return new Map(directlyReceivedStates().map((state) => [state.incarnation, state.inFlight]))
+    const received = reporter.others()
+    return new Map(received === undefined ? [] : [['others', received.inFlight]])
   }
 
-  /** Registered nodes count until they say that they aren't ready; those that were only heard of must say that they are. */
+  /** Includes registered nodes unless their state says that they aren't ready, and unregistered nodes only if their state says that they are. */
   function addresses (caller: string): readonly string[] {
-    const states = new Map(heardDirectly().map((state) => [state.name, state]))
+    const states = new Map(directlyReceivedStates().map((state) => [state.name, state]))
     const known = new Map<string, Reachable>(records.all().filter(({ name }) => name !== self.name && states.get(name)?.ready !== false).map((record) => [record.name, record]))
     for (const { name, front, processor, ready } of states.values()) if (ready) known.set(name, { name, front, processor })
     if (options.isReady()) known.set(self.name, self)
-    return chooseAddresses(caller, [...known.values()], options.mostAddresses)
+    return chooseAddresses(caller, [...known.values()], options.maxAddresses)
   }
 
-  function names (): readonly string[] {
-    if (!records.isListed()) return []
-    return [...new Set([self, ...records.all(), ...heardDirectly()].map(({ name }) => name))]
+  function nodeNames (): readonly string[] {
+    if (!records.isLoaded()) return []
+    return [...new Set([self, ...records.all(), ...directlyReceivedStates()].map(({ name }) => name))]
   }
 
-  function present (): number {
-    return Math.max(records.isListed() ? 1 : UNKNOWN_NODES, records.all().length, others().reduce((sum, { nodes }) => sum + nodes, 1))
+  function knownNodeCount (): number {
+    return Math.max(records.isLoaded() ? 1 : UNKNOWN_NODES, records.all().length, others().reduce((sum, { nodes }) => sum + nodes, 1))
   }
 
   return {
     others,
     loads,
-    // With members, what a dead aggregator told would count beside what its members tell another one.
+    // In a fleet with members the states of dead nodes are left out. The sums of a dead aggregator contain its members,
+    // which report to another aggregator by then and would count twice.
     brokenRuns: () => (records.all().length > EQUALS ? others() : gossip.table.all()).map(({ crashes }) => crashes),
-    usage: (window) => usageOf([...gossip.table.all(), ...gossip.members.all()], window),
-    memberUsage: (window) => usageOf(gossip.members.all(), window),
-    oldest: () => gossip.table.oldest(clock.now()),
-    size: () => Math.max(present(), records.all().length + records.departed()),
-    present,
-    names,
+    usage: (window) => usageByIncarnation([...gossip.table.all(), ...gossip.members.all()], window),
+    memberUsage: (window) => usageByIncarnation(gossip.members.all(), window),
+    maxSilence: () => gossip.table.oldest(clock.now()),
+    maxNodeCount: () => Math.max(knownNodeCount(), records.all().length + records.departedCount()),
+    knownNodeCount,
+    nodeNames,
     isMember,
     addresses,
     wall: () => wall.at(clock.wall(), clock.now()),
-    tellReading: (upstream, reading) => {
-      if (records.all().length > EQUALS && reading < LONG_READING) return
-      gossip.tellReading(upstream, reading, isMember() ? reportsTo : undefined)
+    announcePrefill: (upstream, prefill) => {
+      if (records.all().length > EQUALS && prefill < MIN_ANNOUNCED_PREFILL) return
+      gossip.announcePrefill(upstream, prefill, isMember() ? currentAggregator : undefined)
     },
     withdraw: async () => {
-      if (!isMember()) gossip.spread()
+      if (!isMember()) gossip.exchangeUrgently()
       await records.withdraw()
     },
     close: () => connections.destroy()
   }
 }
 
-function usageOf (states: readonly NodeState[], window: number): ReadonlyMap<string, UsageCounts> {
+function usageByIncarnation (states: readonly NodeState[], window: number): ReadonlyMap<string, UsageCounts> {
   return new Map(states.map((state) => [state.incarnation, state.usage[String(window)] ?? {}]))
 }
--- a/src/gateway/follow.ts
+++ b/src/gateway/follow.ts
@@ -1,123 +1,131 @@
-/** Following of the store: the configuration, the upstreams, the nodes of the system. */
+/** Keeps a node up to date with a key prefix of the store, by reading the store or by updates from other nodes. */
 import { followKeys } from '../protocols/key-watch.js'
 import type { WatchPauses } from '../protocols/key-watch.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import type { EventLog } from '../events/index.js'
 import type { KeyValue, KeyValueEntry } from '../protocols/key-value.js'
 import type { Random } from '../random.js'
-import type { FollowingRole, Relay } from './relay.js'
-import { createReplica } from './replica.js'
+import { createPrefixReplica } from './replica.js'
+import type { StoreReadRole, StoreUpdateExchange } from './store-updates.js'
 
-/** What follows a prefix needs. */
-export interface FollowContext {
+/** Dependencies of code that follows prefixes of the store or calls the store. */
+export interface StoreContext {
   readonly store: KeyValue
   readonly clock: Clock
   readonly random: Random
   readonly log: EventLog
   readonly signal: AbortSignal
-  /** News that other nodes pass on; without it the node reads everything itself. */
-  readonly relay?: Relay
+  /** Updates exchanged with other nodes. Without this exchange, the node reads everything from the store. */
+  readonly storeUpdates?: StoreUpdateExchange
 }
 
-/** Takes what stands under a prefix, and its changes. */
-export interface Follower {
-  /** Everything that stands there now. */
+/** Receives the content of a prefix and its changes. */
+export interface PrefixHandler {
+  /** Receives all entries of the prefix, which replace everything received before. */
   readonly replace: (entries: readonly KeyValueEntry[]) => void
+  /** Receives an entry that was added or changed. */
   readonly put: (entry: KeyValueEntry) => void
+  /** Receives the key of a deleted entry and the revision of the deletion. */
   readonly remove: (key: string, revision: number) => void
 }
 
-/** How a prefix was last heard of. */
-export interface Following {
-  /** Time of the last answer of the store for this prefix, to this node or to one that passed it on; undefined before the first. */
-  heardAt (): Milliseconds | undefined
+/** A prefix that this node follows. */
+export interface PrefixSubscription {
+  /** Time of the last known answer of the store for this prefix, to this node or to the node that passed the answer on; undefined before the first. */
+  lastContactAt (): Milliseconds | undefined
 }
 
-/** A change must be in force within two seconds; a store that is back is read again within that. */
+/** Pauses for prefixes whose changes must be in force within two seconds, also after an outage of the store. */
 const PROMPT_PAUSES: WatchPauses = { start: 0, first: 100, longest: 800, batch: 0, idle: 200 }
 
-/** Longest silence of a watch that other nodes depend on, as a part of the time in which a change must be known. */
-const TOLD_SILENCE_PART = 0.35
+/** Maximum silence of a watch that other nodes depend on, as a fraction of the time within which a change must be known. */
+const SHARED_WATCH_SILENCE_FRACTION = 0.35
 
-/** Pause between two calls of such a watch, likewise. */
-const TOLD_BATCH_PART = 0.1
+/** Pause between two calls of a watch that other nodes depend on, as a fraction of the time within which a change must be known. */
+const SHARED_WATCH_BATCH_FRACTION = 0.1
 
 /**
- * Pauses after failures of a node that an aggregator answers. Failure guarded against: while the store is away, hundreds
- * of nodes each ask it once a second, which is paid for. Where just the aggregator is cut off the first reading succeeds;
- * where the store is away for all, the aggregators find it again and tell.
+ * Pauses after failed reads at a node that receives updates from an aggregator. Failure guarded against: during an outage
+ * of the store, hundreds of nodes call it once a second each, and every call is charged for. Longer pauses cost little:
+ * if only the aggregator is cut off, the node's first read succeeds; if the store is down for all, the aggregators
+ * reconnect first and pass the updates on.
  */
-const TOLD_PAUSES = { first: 400, longest: 3_200 }
+const RECEIVER_PAUSES = { first: 400, longest: 3_200 }
 
 /**
- * Age of what a node was told from which on it reads for itself, likewise. Silence, pause, a slow call and a report fit
- * in; a third of the time is left to the reading.
+ * Maximum age of received updates before a node reads the store itself, as a fraction of the time within which a change must
+ * be known. The silence and the pause of the aggregator's watch, a slow call and a report fit into this fraction. About a
+ * third of the time remains for the node's own read.
  */
-const OLDEST_PART = 0.65
-
-/** What follows a prefix goes by. */
-export interface FollowTerms {
-  readonly pauses: (role: FollowingRole) => WatchPauses
-  /** Age of what others told from which on this node reads for itself. */
-  readonly oldest: Milliseconds
+const MAX_AGE_FRACTION = 0.65
+
+/** How often a prefix is read, and how old received updates may be. */
+export interface SubscriptionSettings {
+  /** Pauses of the watch, by this node's role in the exchange of updates. */
+  readonly pauses: (role: StoreReadRole) => WatchPauses
+  /** Maximum age of received updates before this node reads the store itself. */
+  readonly maxAge: Milliseconds
 }
 
 /**
- * Terms of a prefix whose changes must be known within a time.
+ * Settings for a prefix whose changes must be known within a maximum delay.
  *
- * @param within this time
- * @param batch pause between two calls where no other node depends on them
+ * @param maxDelay time from a change in the store until this node must know the change
+ * @param batch pause between two calls of a watch that no other node depends on
  * @example
- * promptTerms(4 * SECOND, 0)
+ * boundedDelaySettings(4 * SECOND, 0)
  */
-export function promptTerms (within: Milliseconds, batch: Milliseconds): FollowTerms {
+export function boundedDelaySettings (maxDelay: Milliseconds, batch: Milliseconds): SubscriptionSettings {
   const alone: WatchPauses = { ...PROMPT_PAUSES, batch }
-  const telling: WatchPauses = { ...PROMPT_PAUSES, silence: within * TOLD_SILENCE_PART, batch: within * TOLD_BATCH_PART }
-  const told: WatchPauses = { ...alone, ...TOLD_PAUSES }
-  return { pauses: (role) => ({ telling, told, alone })[role], oldest: within * OLDEST_PART }
+  const telling: WatchPauses = { ...PROMPT_PAUSES, silence: maxDelay * SHARED_WATCH_SILENCE_FRACTION, batch: maxDelay * SHARED_WATCH_BATCH_FRACTION }
+  const told: WatchPauses = { ...alone, ...RECEIVER_PAUSES }
+  return { pauses: (role) => ({ telling, told, alone })[role], maxAge: maxDelay * MAX_AGE_FRACTION }
 }
 
-/** Longest silence of a watch of nodes' records. */
-const RECORD_SILENCE: Milliseconds = 8_000
+/** Maximum silence of a watch of the node records. */
+const RECORD_WATCH_SILENCE: Milliseconds = 8_000
 
-/** Pause between two calls of such a watch where other nodes depend on it: hundreds that register at once are read at once. */
-const RECORD_BATCH: Milliseconds = 300
+/** Pause between two calls of a watch of the node records that other nodes depend on. Hundreds of nodes that register at once are then read in one call. */
+const RECORD_WATCH_BATCH: Milliseconds = 300
 
-/** Age of records that others told from which on a node reads them for itself: a watch's silence and half of it again. */
-const OLDEST_RECORDS: Milliseconds = 12_000
+/** Maximum age of received node records before a node reads the store itself: one and a half times the silence of a watch. */
+const MAX_RECORD_AGE: Milliseconds = 12_000
 
 /**
- * For nodes, which also tell each other that they are there, so that a watch that has fallen silent for good
- * delays nothing. Each opening is a call that is paid for.
+ * Settings for the node records. A long silence is acceptable, because nodes also learn of each other by exchanging states,
+ * and a watch that receives nothing more therefore delays nothing. Every reopening of a watch is a call that is charged for.
  */
-export const RECORD_TERMS: FollowTerms = {
-  pauses: (role) => ({ ...PROMPT_PAUSES, silence: RECORD_SILENCE, batch: role === 'telling' ? RECORD_BATCH : 0 }),
-  oldest: OLDEST_RECORDS
+export const NODE_RECORD_SETTINGS: SubscriptionSettings = {
+  pauses: (role) => ({ ...PROMPT_PAUSES, silence: RECORD_WATCH_SILENCE, batch: role === 'telling' ? RECORD_WATCH_BATCH : 0 }),
+  maxAge: MAX_RECORD_AGE
 }
 
 /**
+ * Follows a prefix until the context's signal aborts.
+ *
  * @param prefix of the keys
- * @param terms how soon its changes must be known
+ * @param handler receives the entries and their changes
+ * @param settings pauses of the watch and the maximum age of received updates
  * @example
- * follow(context, 'servers/', { replace, put, remove }, promptTerms(2 * SECOND, 0))
+ * followPrefix(context, 'servers/', { replace, put, remove }, boundedDelaySettings(2 * SECOND, 0))
  */
-export function follow (context: FollowContext, prefix: string, follower: Follower, terms: FollowTerms): Following {
-  const { store, clock, random, log, signal, relay } = context
-  const replica = createReplica(follower)
-  let readAt: Milliseconds | undefined
-  let failing = false
+export function followPrefix (context: StoreContext, prefix: string, handler: PrefixHandler, settings: SubscriptionSettings): PrefixSubscription {
+  const { store, clock, random, log, signal, storeUpdates } = context
+  const replica = createPrefixReplica(handler)
+  let lastReadAt: Milliseconds | undefined
+  let isFailing = false
   let hasListed = false
-  relay?.add(prefix, { replica, oldest: terms.oldest, heardAt })
+  storeUpdates?.add(prefix, { replica, maxAge: settings.maxAge, lastContactAt })
 
-  function heardAt (): Milliseconds | undefined {
-    const toldAt = relay?.toldAt(prefix)
-    return readAt === undefined || toldAt === undefined ? readAt ?? toldAt : Math.max(readAt, toldAt)
+  function lastContactAt (): Milliseconds | undefined {
+    const lastReceivedAt = storeUpdates?.lastReceivedAt(prefix)
+    return lastReadAt === undefined || lastReceivedAt === undefined ? lastReadAt ?? lastReceivedAt : Math.max(lastReadAt, lastReceivedAt)
   }
 
-  function heard (): void {
-    readAt = clock.now()
-    if (failing) log.info('store-regained', { prefix })
-    failing = false
+  function recordContact (): void {
+    lastReadAt = clock.now()
+    if (isFailing) log.info('store-regained', { prefix })
+    isFailing = false
   }
 
   followKeys({
@@ -126,20 +134,21 @@
     clock,
     random,
     signal,
-    wanted: () => relay?.isStale(prefix) ?? true,
-    pauses: () => terms.pauses(relay?.role() ?? 'alone'),
+    wanted: () => storeUpdates?.isStale(prefix) ?? true,
+    pauses: () => settings.pauses(storeUpdates?.role() ?? 'alone'),
     load: async () => {
-      // The first reading may be old: it costs a tenth, and the watch from its revision on brings what it lacks at once. What
-      // comes after a watch that failed may not, since the store may have dropped what lies between.
+      // The first read may be stale: it costs a tenth of a current read, and the watch from its revision on delivers the
+      // missing changes at once. A read after a failed watch must be current, since the store may have compacted the
+      // history between the stale revision and now.
       const isFirst = !hasListed
       hasListed = true
       const { entries, revision } = await store.list(prefix, signal, isFirst)
-      if (!isFirst) heard()
+      if (!isFirst) recordContact()
       replica.replaceAt(entries, revision)
       return revision
     },
     changed: (changes) => {
-      heard()
+      recordContact()
       for (const change of changes) {
         switch (change.kind) {
           case 'put': replica.put(change.entry); break
@@ -148,9 +157,9 @@
       }
     },
     failed: (error) => {
-      if (!failing) log.warn('store-lost', { prefix, error: String(error), silentFor: readAt === undefined ? undefined : Math.round(clock.now() - readAt) })
-      failing = true
+      if (!isFailing) log.warn('store-lost', { prefix, error: String(error), silentFor: lastReadAt === undefined ? undefined : Math.round(clock.now() - lastReadAt) })
+      isFailing = true
     }
   }).catch((error) => log.error('following-ended', { prefix, error: String(error) }))
-  return { heardAt }
+  return { lastContactAt }
 }
--- a/src/gateway/node-metrics.ts
+++ b/src/gateway/node-metrics.ts
@@ -48,7 +48,7 @@
   metrics.gauge('upstreams_limited', options.backpressure.limited)
   metrics.gauge('nodes_known', () => sources().nodes)
   metrics.gauge('nodes_live', () => fleet.others().reduce((sum, { nodes }) => sum + nodes, 1))
-  metrics.gauge('nodes_oldest_ms', fleet.oldest)
+  metrics.gauge('nodes_oldest_ms', fleet.maxSilence)
   metrics.gauge('requests_in_flight', options.inFlight)
   metrics.gauge('duties_held', () => options.holdsDuties() ? 1 : 0)
   metrics.gauge('resident_bytes', () => process.memoryUsage.rss())
--- a/src/gateway/node-records.ts
+++ b/src/gateway/node-records.ts
@@ -1,84 +1,88 @@
-/** The nodes of the system as they register themselves in the store. */
+/** Registration of this node in the store, and the records of all registered nodes. */
 import * as z from 'zod'
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import { createDepartedNodes } from '../gossip/index.js'
 import { readJson } from '../json.js'
 import type { KeyValueEntry, LeaseId } from '../protocols/key-value.js'
-import { follow, RECORD_TERMS } from './follow.js'
-import type { FollowContext, Following } from './follow.js'
+import { followPrefix, NODE_RECORD_SETTINGS } from './follow.js'
+import type { PrefixSubscription, StoreContext } from './follow.js'
 
-/** What a node tells of itself. */
+/** Record that a node writes about itself. */
 export const nodeRecordSchema = z.object({
   name: z.string(),
-  /** New with each start of the process. */
+  /** Differs for each start of the process. */
   incarnation: z.string(),
   failureDomain: z.string(),
-  /** Address for callers. */
+  /** Address for callers, as host and port. */
   front: z.string(),
-  /** Address for other nodes. */
+  /** Address for other nodes, as host and port. */
   peer: z.string(),
-  /** Cores that it may use. */
+  /** Number of processor cores that the node may use. */
   processor: z.number().positive().default(1)
 })
 export type NodeRecord = z.infer<typeof nodeRecordSchema>
 
-/** Nodes that are registered. */
+/** Records of the registered nodes. */
 export interface NodeRecords {
-  /** By name; this node included once the store has it. */
+  /** All registered nodes, including this node once the store has its record. */
   all (): readonly NodeRecord[]
-  /** Nodes whose records have vanished lately and that may serve all the same. */
-  departed (): number
-  /** They were read from the store at least once. */
-  isListed (): boolean
-  /** Takes this node out, at a planned stop. */
+  /** Number of nodes whose records were removed recently and that may still be serving. */
+  departedCount (): number
+  /** Whether the records have been read at least once. */
+  isLoaded (): boolean
+  /** Removes this node's record at a planned stop and ends the registration. */
   withdraw (): Promise<void>
-  readonly following: Following
+  readonly subscription: PrefixSubscription
 }
 
-/** What the owner of the records is told. */
-export interface RecordsTold {
-  /** A key beside the nodes' has vanished. */
-  readonly otherGone: (key: string) => void
-  /** All records have been read for the first time. */
-  readonly listed: () => void
+/** Callbacks of the node records. */
+export interface NodeRecordsHandlers {
+  /** Called when a key of the fleet prefix that is not a node record has been deleted. */
+  readonly onOtherKeyDeleted: (key: string) => void
+  /** Called when all records have been read for the first time. */
+  readonly onLoaded: () => void
 }
 
-/** What all nodes follow: the nodes' records and the key of the duties' lease. */
+/** Prefix that all nodes follow: node records and the key of the duties' lease. */
 const FLEET_PREFIX = 'hornbeamgap/fleet/'
 
 const NODE_PREFIX = `${FLEET_PREFIX}nodes/`
 
-/** A node that died is forgotten after this time; one that is cut off from the store for less keeps its place. */
-const REGISTRATION_TIME: Milliseconds = 6 * SECOND
+/** Lease time of a record. A dead node's record is removed after this time; a node that is cut off from the store for less keeps its record. */
+const REGISTRATION_LEASE_TIME: Milliseconds = 6 * SECOND
 const RENEWAL_PERIOD: Milliseconds = 2 * SECOND
 
 /**
- * Pause after the first registration that failed in a row; it doubles with each further one. Failure guarded against:
- * while the store is away, or turns nodes away, each call is paid for. The longest is a third of a record's life.
+ * Pause after a failed registration or renewal, which doubles with each further failure in a row. Failure guarded against:
+ * during an outage of the store, or while the store rejects nodes, every node keeps calling, and every call is charged for.
+ * The maximum is a third of the lease time of a record.
  */
-const FIRST_RETRY: Milliseconds = 500
-const LONGEST_RETRY: Milliseconds = 2 * SECOND
+const MIN_RETRY_PAUSE: Milliseconds = 500
+const MAX_RETRY_PAUSE: Milliseconds = 2 * SECOND
 
 /**
+ * Registers this node, renews its lease until the signal aborts or the node withdraws, and follows the node records.
+ *
  * @param own this node's record
- * @param told called as something becomes known
+ * @param handlers called when the records or the other keys of the prefix change
  * @example
- * const nodes = keepNodeRecords(context, { name, incarnation, failureDomain, front, peer }, { otherGone, listed })
+ * const nodes = startNodeRegistration(context, { name, incarnation, failureDomain, front, peer, processor }, { onOtherKeyDeleted, onLoaded })
  */
-export function keepNodeRecords (context: FollowContext, own: NodeRecord, told: RecordsTold): NodeRecords {
+export function startNodeRegistration (context: StoreContext, own: NodeRecord, handlers: NodeRecordsHandlers): NodeRecords {
   const { store, clock, log, signal } = context
   const records = new Map<string, NodeRecord>()
   let lease: LeaseId | undefined
-  let isListed = false
+  let isLoaded = false
   const withdrawal = new AbortController()
-  const departed = createDepartedNodes()
+  const departedNodes = createDepartedNodes()
 
   async function register (): Promise<void> {
-    const granted = await store.grantLease(REGISTRATION_TIME, signal)
+    const granted = await store.grantLease(REGISTRATION_LEASE_TIME, signal)
     if (withdrawal.signal.aborted) return
     await store.put(NODE_PREFIX + own.name, JSON.stringify(own), { lease: granted, signal })
-    // Failure guarded against: the withdrawal came while the store took the record in, and found no lease to end.
+    // Failure guarded against: the node withdraws while the store writes the record. The withdrawal finds no lease to revoke,
+    // and the record would remain until its lease expires.
     if (withdrawal.signal.aborted) return store.revokeLease(granted, signal)
     lease = granted
     log.info('node-registered', { lease: granted })
@@ -92,57 +96,57 @@
     await register()
   }
 
-  async function run (): Promise<void> {
-    let retry = FIRST_RETRY
+  async function runRegistration (): Promise<void> {
+    let retryPause = MIN_RETRY_PAUSE
     while (!signal.aborted && !withdrawal.signal.aborted) {
       const failed = await renew().then(() => false, (error) => {
         log.warn('node-registration-failed', { error: String(error) })
         return true
       })
-      await clock.sleep(failed ? retry : RENEWAL_PERIOD, signal).catch(() => {})
-      retry = failed ? Math.min(LONGEST_RETRY, retry * 2) : FIRST_RETRY
+      await clock.sleep(failed ? retryPause : RENEWAL_PERIOD, signal).catch(() => {})
+      retryPause = failed ? Math.min(MAX_RETRY_PAUSE, retryPause * 2) : MIN_RETRY_PAUSE
     }
   }
 
-  run().catch((error) => log.error('node-registration-ended', { error: String(error) }))
+  runRegistration().catch((error) => log.error('node-registration-ended', { error: String(error) }))
 
-  const following = follow(context, FLEET_PREFIX, {
+  const subscription = followPrefix(context, FLEET_PREFIX, {
     replace: (entries) => {
-      const before = [...records.keys()]
+      const previousNames = [...records.keys()]
       records.clear()
-      for (const entry of entries) take(entry)
-      for (const name of before) if (!records.has(name)) departed.gone(name, clock.now())
-      if (isListed) return
-      isListed = true
-      told.listed()
+      for (const entry of entries) putRecord(entry)
+      for (const name of previousNames) if (!records.has(name)) departedNodes.gone(name, clock.now())
+      if (isLoaded) return
+      isLoaded = true
+      handlers.onLoaded()
     },
-    put: take,
+    put: putRecord,
     remove: (key) => {
-      if (!key.startsWith(NODE_PREFIX)) return told.otherGone(key)
+      if (!key.startsWith(NODE_PREFIX)) return handlers.onOtherKeyDeleted(key)
       const name = key.slice(NODE_PREFIX.length)
       if (!records.delete(name)) return
-      departed.gone(name, clock.now())
+      departedNodes.gone(name, clock.now())
       log.info('node-gone', { node: name })
     }
-  }, RECORD_TERMS)
+  }, NODE_RECORD_SETTINGS)
 
-  function take ({ key, value }: KeyValueEntry): void {
+  function putRecord ({ key, value }: KeyValueEntry): void {
     if (!key.startsWith(NODE_PREFIX)) return
     const record = readJson(nodeRecordSchema, value)
     if (record === undefined) return log.warn('node-record-unreadable', { key, value: value.slice(0, 100) })
     if (records.get(record.name)?.incarnation !== record.incarnation) log.info('node-known', { node: record.name, incarnation: record.incarnation, front: record.front })
     records.set(record.name, record)
-    departed.back(record.name)
+    departedNodes.back(record.name)
   }
 
   return {
     all: () => [...records.values()],
-    departed: () => departed.count(clock.now()),
-    isListed: () => isListed,
+    departedCount: () => departedNodes.count(clock.now()),
+    isLoaded: () => isLoaded,
     withdraw: async () => {
       withdrawal.abort()
       if (lease !== undefined) await store.revokeLease(lease)
     },
-    following
+    subscription
   }
 }
--- a/src/gateway/node.ts
+++ b/src/gateway/node.ts
@@ -18,23 +18,23 @@
 import { refusal } from './acceptance.js'
 import { answerFailure } from './answering.js'
 import { createBackpressure } from './backpressure.js'
-import { createConfigurationKeeper } from './configuration-keeper.js'
+import { createConfigurationWatcher } from './configuration-watcher.js'
 import type { GatewayContext, Sources, StopTimes } from './context.js'
-import { keepDuties } from './duties.js'
+import { startDuties } from './duties.js'
 import { createDutyHolder, DUTY_KEY } from './duty-holder.js'
 import type { DutyHolder } from './duty-holder.js'
 import { createEvacuation } from './evacuation.js'
 import { createUpstreamConnections } from './exchange.js'
 import { joinFleet } from './fleet.js'
-import type { Fleet, OwnReport } from './fleet.js'
-import type { FollowContext, Following } from './follow.js'
+import type { Fleet, LocalReport } from './fleet.js'
+import type { StoreContext, PrefixSubscription } from './follow.js'
 import { forwardRequest } from './forwarding.js'
 import { callerConnections, createCallerServer, limitCallers } from './listener.js'
 import { createGatewayMetrics } from './metrics.js'
 import { exposeNode } from './node-metrics.js'
 import type { Platform } from './ports.js'
-import { createRelay } from './relay.js'
-import type { Relay } from './relay.js'
+import { createStoreUpdateExchange } from './store-updates.js'
+import type { StoreUpdateExchange } from './store-updates.js'
 import { createRequestSums } from './request-sums.js'
 import { keepRolloutDuty } from './rollout-duty.js'
 import { keepRolloutRecords } from './rollout-records.js'
@@ -102,8 +102,8 @@
   const ending = new AbortController()
   // Each call to the store and each sleeper listens to it; the default of ten would be taken for a leak.
   setMaxListeners(0, ending.signal)
-  const relay = createRelay(clock)
-  const follows: FollowContext & { readonly relay: Relay } = { store: platform.store, clock, random, log, signal: ending.signal, relay }
+  const relay = createStoreUpdateExchange(clock)
+  const follows: StoreContext & { readonly storeUpdates: StoreUpdateExchange } = { store: platform.store, clock, random, log, signal: ending.signal, storeUpdates: relay }
   platform.store.epochs.onRestore((restore) => log.warn('store-restored', { ...restore }))
   const metrics = createGatewayMetrics()
   const backpressure = createBackpressure({ node: settings.name, clock, log, upstreams: () => upstreams })
@@ -134,8 +134,8 @@
   const front = await listenAt(server, settings.front)
 
   const rolloutRecords = keepRolloutRecords(follows, platform.registry.rollouts, bounds.configurationApplies, (service) => rollouts.changed(service))
-  const configuration = createConfigurationKeeper(follows, platform.registry, bounds.configurationApplies, applyLimits, rolloutRecords.follower)
-  const rollouts = createRollouts({ clock, random, log, bounds: bounds.rollout, records: rolloutRecords, nodes: () => fleet.size(), ordersHeardAt: configuration.following.heardAt })
+  const configuration = createConfigurationWatcher(follows, platform.registry, bounds.configurationApplies, applyLimits, rolloutRecords.follower)
+  const rollouts = createRollouts({ clock, random, log, bounds: bounds.rollout, records: rolloutRecords, nodes: () => fleet.maxNodeCount(), ordersHeardAt: configuration.subscription.lastContactAt })
   const holder: DutyHolder = createDutyHolder({ context: follows, node: settings.name, incarnation, leaseTime: bounds.lease, firstStart: settings.firstStart, isCandidate: () => context !== undefined && !fleet.isMember() })
   const servers: Server[] = [server]
   const fleet = await joinFleet({
@@ -146,13 +146,13 @@
       return listenAt(peerServer, settings.peers)
     },
     configuration,
-    mostAddresses: platform.paths.mostAddresses,
+    maxAddresses: platform.paths.mostAddresses,
     isReady,
     report,
     heard,
     reading: (note) => upstreams.noteReading(note.from, note.upstream, note.reading, clock.now()),
-    listed: () => applyShares(),
-    otherGone: (key) => { if (key === DUTY_KEY) holder.vacant() }
+    onRecordsLoaded: () => applyShares(),
+    onOtherKeyDeleted: (key) => { if (key === DUTY_KEY) holder.onLeaseDeleted() }
   })
   const retryBudget = (service: string): RetryBudget => findOrCreate(budgets, service, () => createBudget(fleet))
   const evacuation = createEvacuation({
@@ -188,22 +188,22 @@
     sums,
     work,
     retryBudget,
-    tellReading: fleet.tellReading,
+    tellReading: fleet.announcePrefill,
     table: configuration.table,
     sharedWall: fleet.wall,
     sources,
     stop: () => stopping
   }
   const upstreamsFollowing = keepUpstreams(follows, platform.registry, upstreams, connections, bounds.upstreamDrain, evacuation.leaving)
-  const duties = platform.duties && keepDuties({ context: follows, settings, incarnation, calls: platform.duties, holder, fleet, usage, work, upstreams, speeds, carries: rollouts.carries, table: configuration.table })
+  const duties = platform.duties && startDuties({ context: follows, settings, incarnation, calls: platform.duties, holder, fleet, usage, work, upstreams, speeds, carries: rollouts.carries, table: configuration.table })
 
   keepRolloutDuty({ context: follows, registry: platform.registry.rollouts, bounds: bounds.rollout, records: rolloutRecords, rollouts, upstreams, fleet, duty: holder })
 
   // Failure guarded against: nobody may take the duties while the nodes are put together, and the fleet that is found at the
   // start runs on, paid for, until the next look at their key some ten seconds later.
-  holder.vacant()
+  holder.onLeaseDeleted()
   repeat({ clock, log, signal: ending.signal }, 'shares', SHARE_PERIOD, () => {
-    backpressure.deal(fleet.names())
+    backpressure.deal(fleet.nodeNames())
     applyShares()
   })
   repeat({ clock, log, signal: ending.signal }, 'speeds', SPEED_PERIOD, speeds.update)
@@ -224,14 +224,14 @@
   function sources (): Sources {
     return {
       configuration: configuration.table()?.configuration.version,
-      configurationAge: ageOf(configuration.following),
+      configurationAge: ageOf(configuration.subscription),
       upstreamsAge: ageOf(upstreamsFollowing),
-      nodes: fleet.size()
+      nodes: fleet.maxNodeCount()
     }
   }
 
-  function ageOf (following: Following): Milliseconds | undefined {
-    const heardAt = following.heardAt()
+  function ageOf (following: PrefixSubscription): Milliseconds | undefined {
+    const heardAt = following.lastContactAt()
     return heardAt === undefined ? undefined : Math.round(clock.now() - heardAt)
   }
 
@@ -242,12 +242,12 @@
   /** What was served during the stop; the store may be away, and the kill is near. */
   async function writeLastCounts (): Promise<void> {
     if (duties === undefined) return
-    const written = duties.writeCounts().catch((error) => log.warn('last-counts-not-written', { error: String(error) }))
+    const written = duties.writeUsageCounts().catch((error) => log.warn('last-counts-not-written', { error: String(error) }))
     await Promise.race([written, clock.sleep(LAST_WRITE)])
   }
 
   /** What the other nodes are told. */
-  function report (): OwnReport {
+  function report (): LocalReport {
     const now = clock.now()
     const present = windowOf(fleet.wall(), bounds.usageWindow)
     const windows = Array.from({ length: TOLD_WINDOWS + 1 }, (_, back) => present - back)
@@ -280,7 +280,7 @@
   function applyShares (): void {
     // Records may be listed while the node is put together; the first of the periodic runs follows at once.
     if (context === undefined) return
-    const nodes = fleet.size()
+    const nodes = fleet.maxNodeCount()
     const others = fleet.others()
     quotas.observe(others, nodes)
     for (const budget of budgets.values()) budget.share(nodes)
@@ -304,7 +304,7 @@
 
   function createBudget (known: Fleet): RetryBudget {
     const budget = createRetryBudget(bounds.retryBudget)
-    budget.share(known.size())
+    budget.share(known.maxNodeCount())
     return budget
   }
 
--- a/src/gateway/peer-link.ts
+++ b/src/gateway/peer-link.ts
@@ -1,4 +1,4 @@
-/** The protocol between gateway nodes, by tRPC: an exchange of states, members' reports, and the configuration for those behind. */
+/** tRPC protocol between gateway nodes: exchange of states, reports of members, prefill notices, and the configuration. */
 import type { Server } from 'node:http'
 import * as z from 'zod'
 import { createTRPCClient, httpLink } from '@trpc/client'
@@ -11,61 +11,65 @@
 import { createLinkFetch } from '../peer/fetch.js'
 import type { ByteCounter } from '../peer/fetch.js'
 import type { Connections } from '../protocols/http.js'
-import { LARGEST_MESSAGE, pack, unpack } from './packing.js'
+import { MAX_MESSAGE_BYTES, pack, unpack } from './packing.js'
 
-const readingNoteSchema = z.object({
+const prefillNoticeSchema = z.object({
   /** Incarnation of the sender. */
   from: z.string(),
   upstream: upstreamLifeSchema,
-  /** Milliseconds that the upstream needs for it. */
+  /** Milliseconds of prefill that the prompt needs at the upstream. */
   reading: z.number(),
-  /** Whom the receiver is to tell: nobody, the nodes that report to it, or all. */
+  /** Nodes that the receiver forwards the notice to: none, its members, or all nodes. */
   passTo: z.enum(['nobody', 'members', 'all'])
 })
 
-/** A long prompt that was sent to an upstream. */
-export type ReadingNote = z.infer<typeof readingNoteSchema>
+/** Notice of a long prompt that was dispatched to an upstream. */
+export type PrefillNotice = z.infer<typeof prefillNoticeSchema>
 
-/** What a node answers its peers with. */
-export interface PeerAnswers {
-  /** Takes a peer's half of an exchange and gives this node's. */
+/** Handlers for the requests of other nodes. */
+export interface PeerHandlers {
+  /** Applies a peer's message and returns this node's message. */
   readonly exchange: (message: GossipMessage) => GossipMessage
-  /** Takes a member's report and answers with the sums of all and news of the store. */
+  /** Applies a member's report and returns the sums of the other nodes and store updates. */
   readonly report: (message: MemberMessage) => AggregatorAnswer
-  /** A peer has just sent a long prompt to an upstream. */
-  readonly reading: (note: ReadingNote) => void
+  /** Handles the notice of a long prompt that a peer has just dispatched to an upstream. */
+  readonly reading: (notice: PrefillNotice) => void
   /** Text of the configuration in force; undefined while there is none. */
   readonly configuration: () => string | undefined
 }
 
 const trpc = initTRPC.create()
 
-/** @internal the router's type is what clients are made from */
-export function createPeerRouter (answers: PeerAnswers) {
+/** @internal exported because the type of the clients is derived from the router's type */
+export function createPeerRouter (handlers: PeerHandlers) {
   return trpc.router({
-    exchange: trpc.procedure.input(z.string()).mutation(({ input }) => pack(answers.exchange(unpack(gossipMessageSchema, input)))),
-    report: trpc.procedure.input(z.string()).mutation(({ input }) => pack(answers.report(unpack(memberMessageSchema, input)))),
-    reading: trpc.procedure.input(readingNoteSchema).mutation(({ input }) => answers.reading(input)),
-    configuration: trpc.procedure.query(() => ({ text: answers.configuration() ?? null }))
+    exchange: trpc.procedure.input(z.string()).mutation(({ input }) => pack(handlers.exchange(unpack(gossipMessageSchema, input)))),
+    report: trpc.procedure.input(z.string()).mutation(({ input }) => pack(handlers.report(unpack(memberMessageSchema, input)))),
+    reading: trpc.procedure.input(prefillNoticeSchema).mutation(({ input }) => handlers.reading(input)),
+    configuration: trpc.procedure.query(() => ({ text: handlers.configuration() ?? null }))
   })
 }
 
-/** One peer as this node calls it. */
+/** Client for one peer. */
 export type PeerLink = TRPCClient<ReturnType<typeof createPeerRouter>>
 
 /**
- * @returns a server that the owner listens with and closes
+ * Creates the server for requests of other nodes.
+ *
+ * @returns a server that the caller starts and closes
  * @example
  * const server = createPeerLinkServer({ exchange, report, reading, configuration })
  */
-export function createPeerLinkServer (answers: PeerAnswers): Server {
-  return createHTTPServer({ router: createPeerRouter(answers), maxBodySize: LARGEST_MESSAGE })
+export function createPeerLinkServer (handlers: PeerHandlers): Server {
+  return createHTTPServer({ router: createPeerRouter(handlers), maxBodySize: MAX_MESSAGE_BYTES })
 }
 
 /**
- * @returns how to reach a peer by its address
+ * Creates clients for peers, one per address, over shared connections.
+ *
+ * @returns a function that returns the client for a peer's address
  * @example
- * const reply = await createPeerLinks(connections, counter)('10.1.0.16:7500').exchange.mutate(message, { signal })
+ * const reply = await createPeerLinks(connections, counter)('10.1.0.16:7500').exchange.mutate(pack(message), { signal })
  */
 export function createPeerLinks (connections: Connections, counter: ByteCounter): (address: string) => PeerLink {
   const links = new Map<string, PeerLink>()
--- a/src/gateway/reachable-peers.ts
+++ b/src/gateway/reachable-peers.ts
@@ -1,20 +1,26 @@
-/** Which other nodes answer; one line in the log for each that stops, until it answers again. */
+/** Tracks which other nodes answer. Logs a peer once when it stops answering and once when it answers again. */
 import type { Clock, Milliseconds } from '../clock.js'
 import type { EventLog } from '../events/index.js'
 
-/** Other nodes by address. */
+/** Reachability of other nodes by address. */
 export interface ReachablePeers {
+  /** Records a failed call to a peer. Ignored once this node stops. */
   lost (address: string, error: unknown): void
+  /** Records an answer of a peer. */
   regained (address: string): void
-  isLost (address: string): boolean
-  /** It failed within this time. */
+  /** Whether the last call to a peer failed. */
+  isUnreachable (address: string): boolean
+  /** Whether the last call to a peer failed, and did so within this time. */
   hasFailedWithin (address: string, time: Milliseconds): boolean
 }
 
-/** Characters of an error's text in a line of the log. */
+/** Maximum number of characters of an error in a log line. */
 const ERROR_LENGTH = 200
 
 /**
+ * Creates a record of reachability in which all peers count as reachable.
+ *
+ * @param signal aborts when this node stops
  * @example
  * const reachable = createReachablePeers(clock, log, signal)
  */
@@ -30,7 +36,7 @@
     regained: (address) => {
       if (failedAt.delete(address)) log.info('peer-regained', { peer: address })
     },
-    isLost: (address) => failedAt.has(address),
+    isUnreachable: (address) => failedAt.has(address),
     hasFailedWithin: (address, time) => clock.now() - (failedAt.get(address) ?? -Infinity) < time
   }
 }
--- a/src/gateway/replica.ts
+++ b/src/gateway/replica.ts
@@ -1,64 +1,66 @@
-/** What stands under a followed prefix of the store, with its latest changes, to be passed on to other nodes. */
+/** A copy of the entries of a followed prefix, with its latest changes, from which other nodes receive updates. */
 import type { News } from '../gossip/index.js'
 import type { KeyValueEntry } from '../protocols/key-value.js'
-import type { Follower } from './follow.js'
+import type { PrefixHandler } from './follow.js'
 
-/** A copy of a prefix. */
-export interface Replica extends Follower {
-  /** Takes a complete reading in; `revision` is the store's at that time. */
+/** A copy of the entries of a prefix. */
+export interface PrefixReplica extends PrefixHandler {
+  /** Replaces the content by a complete read; `revision` is the store's revision at that time. */
   replaceAt (entries: readonly KeyValueEntry[], revision: number): void
-  /** Latest revision that it contains; 0 before the first reading. */
+  /** Latest revision that the copy contains; 0 before the first read. */
   revision (): number
-  /** What came after a revision. */
+  /** Changes after a revision, or all entries where the removals since then are no longer known. */
   since (revision: number): Omit<News, 'prefix' | 'age'>
-  /** Takes in what another node has read. */
-  apply (news: News): void
+  /** Applies an update from another node. */
+  apply (update: News): void
 }
 
-/** Removals that are remembered. Who lacks older ones gets everything that stands there. */
-const KEPT_REMOVALS = 500
+/** Maximum number of removals that are kept. A node that lacks older removals receives all entries. */
+const MAX_REMEMBERED_REMOVALS = 500
 
 /**
- * @param follower told of every change that the copy takes in
+ * Creates an empty copy.
+ *
+ * @param handler called with every change that the copy applies
  * @example
- * const replica = createReplica(follower)
+ * const replica = createPrefixReplica(handler)
  * replica.replaceAt(entries, revision)
  */
-export function createReplica (follower: Follower): Replica {
+export function createPrefixReplica (handler: PrefixHandler): PrefixReplica {
   const entries = new Map<string, KeyValueEntry>()
   const removals = new Map<string, number>()
-  let latest = 0
-  /** Changes after this revision are all known. */
-  let completeFrom = Infinity
+  let latestRevision = 0
+  /** All changes after this revision are known. */
+  let completeSince = Infinity
 
-  function advance (revision: number): void {
-    latest = Math.max(latest, revision)
+  function advanceRevision (revision: number): void {
+    latestRevision = Math.max(latestRevision, revision)
   }
 
-  function noteRemoval (key: string, revision: number): void {
+  function recordRemoval (key: string, revision: number): void {
     removals.delete(key)
     removals.set(key, revision)
     const [oldest] = removals
-    if (removals.size <= KEPT_REMOVALS || oldest === undefined) return
+    if (removals.size <= MAX_REMEMBERED_REMOVALS || oldest === undefined) return
     removals.delete(oldest[0])
-    completeFrom = Math.max(completeFrom, oldest[1])
+    completeSince = Math.max(completeSince, oldest[1])
   }
 
-  function replaceAt (present: readonly KeyValueEntry[], revision: number): void {
-    const keys = new Set(present.map(({ key }) => key))
-    for (const key of entries.keys()) if (!keys.has(key)) noteRemoval(key, revision)
+  function replaceAt (currentEntries: readonly KeyValueEntry[], revision: number): void {
+    const keys = new Set(currentEntries.map(({ key }) => key))
+    for (const key of entries.keys()) if (!keys.has(key)) recordRemoval(key, revision)
     entries.clear()
-    for (const entry of present) entries.set(entry.key, entry)
+    for (const entry of currentEntries) entries.set(entry.key, entry)
     for (const key of keys) removals.delete(key)
-    // The first reading doesn't tell what was there before it.
-    if (latest === 0) completeFrom = revision
-    advance(revision)
-    follower.replace(present)
+    // Removals before the first read are unknown.
+    if (latestRevision === 0) completeSince = revision
+    advanceRevision(revision)
+    handler.replace(currentEntries)
   }
 
   /**
-   * Failure guarded against: this node's own watch and another node's news show the same changes in different order, and
-   * the end of a life takes the next one away. The store's revisions order them.
+   * Failure guarded against: this node's watch and another node's updates deliver the same changes in a different order, and
+   * the removal of an upstream's incarnation deletes the entry of the next incarnation. The store's revisions decide the order.
    */
   function isOutdated (key: string, revision: number): boolean {
     return revision < (entries.get(key)?.revision ?? removals.get(key) ?? 0)
@@ -68,40 +70,40 @@
     if (isOutdated(entry.key, entry.revision)) return
     entries.set(entry.key, entry)
     removals.delete(entry.key)
-    advance(entry.revision)
-    follower.put(entry)
+    advanceRevision(entry.revision)
+    handler.put(entry)
   }
 
   function remove (key: string, revision: number): void {
     if (isOutdated(key, revision)) return
     entries.delete(key)
-    noteRemoval(key, revision)
-    advance(revision)
-    follower.remove(key, revision)
+    recordRemoval(key, revision)
+    advanceRevision(revision)
+    handler.remove(key, revision)
   }
 
   return {
     replaceAt,
-    replace: (present) => replaceAt(present, latest),
+    replace: (currentEntries) => replaceAt(currentEntries, latestRevision),
     put,
     remove,
-    revision: () => latest,
+    revision: () => latestRevision,
     since: (revision) => {
-      if (revision < completeFrom) return { revision: latest, isWhole: true, entries: [...entries.values()], removed: [] }
+      if (revision < completeSince) return { revision: latestRevision, isWhole: true, entries: [...entries.values()], removed: [] }
       return {
-        revision: latest,
+        revision: latestRevision,
         isWhole: false,
         entries: [...entries.values()].filter((entry) => entry.revision > revision),
         removed: [...removals].filter(([, at]) => at > revision).map(([key, at]) => ({ key, revision: at }))
       }
     },
-    apply: (news) => {
-      // An answer that was on the way while this node read the store itself is older than what it has.
-      if (news.revision < latest) return
-      if (news.isWhole) return replaceAt(news.entries, news.revision)
-      for (const { key, revision } of news.removed) remove(key, revision)
-      for (const entry of [...news.entries].sort((left, right) => left.revision - right.revision)) put(entry)
-      advance(news.revision)
+    apply: (update) => {
+      // An update that was on the way while this node read the store itself is older than the copy.
+      if (update.revision < latestRevision) return
+      if (update.isWhole) return replaceAt(update.entries, update.revision)
+      for (const { key, revision } of update.removed) remove(key, revision)
+      for (const entry of [...update.entries].sort((left, right) => left.revision - right.revision)) put(entry)
+      advanceRevision(update.revision)
     }
   }
 }
--- a/src/gateway/reporting.ts
+++ b/src/gateway/reporting.ts
@@ -1,4 +1,4 @@
-/** A member's side of the reports: it tells an aggregator of itself and hears the sums of all and news of the store. */
+/** Reports of a member: sends its state to an aggregator and receives the sums of the other nodes and store updates. */
 import { boundSignal } from '../bound-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import { aggregatorAnswerSchema, SILENT_AFTER } from '../gossip/index.js'
@@ -6,66 +6,72 @@
 import { pack, unpack } from './packing.js'
 import type { PeerLink } from './peer-link.js'
 import type { ReachablePeers } from './reachable-peers.js'
-import type { Relay } from './relay.js'
+import type { StoreUpdateExchange } from './store-updates.js'
 
-/** What the member needs. */
-export interface ReportingOptions {
+/** Dependencies of {@link createMemberReporter}. */
+export interface MemberReporterOptions {
   readonly clock: Clock
   readonly signal: AbortSignal
   readonly wall: SharedWall
-  readonly relay: Relay
+  readonly storeUpdates: StoreUpdateExchange
   readonly reachable: ReachablePeers
+  /** Returns the client for a peer's address. */
   readonly link: (address: string) => PeerLink
-  /** What this node tells now. */
-  readonly describe: () => MemberMessage['state']
-  /** Asks an aggregator for its configuration where it is newer. */
-  readonly fetchConfiguration: (address: string, theirs: number, bound: AbortSignal) => Promise<void>
+  /** Current state of this node. */
+  readonly localState: () => MemberMessage['state']
+  /** Fetches the configuration of an aggregator if its version is higher than the version in force here. */
+  readonly fetchConfiguration: (address: string, peerVersion: number, signal: AbortSignal) => Promise<void>
   /** Called after each answer. */
   readonly heard: () => void
 }
 
-/** A member's reports. */
-export interface Reporting {
-  /** Reports to the first aggregator of these that answers. @returns its address; undefined where none did */
+/** Sends the reports of a member. */
+export interface MemberReporter {
+  /** Reports to the aggregators in turn until one answers. @returns the address of the one that answered; undefined if none did */
   report (aggregators: readonly string[]): Promise<string | undefined>
-  /** An aggregator has answered lately, so that this node needn't act as one. */
-  isAttached (): boolean
-  /** Sums of all other nodes as last told; undefined while none were told lately. */
+  /** Whether an aggregator has answered recently, so that this node needn't act as an aggregator. */
+  hasAggregator (): boolean
+  /** Sums of all other nodes from the last answer; undefined if there was no recent answer or no other node. */
   others (): FleetReport | undefined
 }
 
 /**
- * Bound on one report. An answer takes some ms; with a second try at another aggregator what a member knows of the store
- * stays younger than what a leaving upstream allows.
+ * Timeout of one report. An answer takes a few milliseconds. Even after a timeout and a second attempt at another
+ * aggregator, the member's store data is young enough to stop dispatching to an upstream that is leaving.
  */
 const REPORT_TIMEOUT: Milliseconds = 500
 
-/** Aggregators that are tried in one turn: of two that have just died one is found each time, and each costs its bound. */
-const MOST_TRIES = 3
+/**
+ * Maximum number of aggregators tried per report. Three attempts find a live aggregator when two have just died. Each
+ * failed attempt costs up to the timeout.
+ */
+const MAX_REPORT_ATTEMPTS = 3
 
-/** An aggregator that didn't answer comes last for this time: as long as its record stands after its death. */
-const AVOIDED: Milliseconds = 6_000
+/** Time for which an aggregator that didn't answer is avoided: the time that the record of a dead node remains in the store. */
+const AVOIDANCE_TIME: Milliseconds = 6_000
 
-/** Three periods of the reports: a report that is slow, or one that fails, doesn't make an aggregator of a member. */
-const ATTACHED: Milliseconds = 1_200
+/** Time without an answer after which a member acts as an aggregator: three report periods, so that one slow or failed report has no effect. */
+const AGGREGATOR_TIMEOUT: Milliseconds = 1_200
 
 /**
+ * Creates the reporter of one node.
+ *
  * @example
- * const reporting = createReporting({ clock, signal, wall, relay, reachable, link, describe, fetchConfiguration, heard })
+ * const reporter = createMemberReporter({ clock, signal, wall, storeUpdates, reachable, link, localState, fetchConfiguration, heard })
  */
-export function createReporting (options: ReportingOptions): Reporting {
-  const { clock, signal, wall, relay, reachable, link } = options
-  let told: { readonly others: FleetReport | undefined, readonly at: Milliseconds } | undefined
+export function createMemberReporter (options: MemberReporterOptions): MemberReporter {
+  const { clock, signal, wall, storeUpdates, reachable, link } = options
+  let lastAnswer: { readonly others: FleetReport | undefined, readonly at: Milliseconds } | undefined
 
   async function reportTo (address: string): Promise<boolean> {
-    const bound = boundSignal(REPORT_TIMEOUT, signal)
+    const timeoutSignal = boundSignal(REPORT_TIMEOUT, signal)
     try {
-      const askedAt = clock.now()
-      const message: MemberMessage = { state: options.describe(), wall: clock.wall(), known: relay.known() }
-      const answer = unpack(aggregatorAnswerSchema, await link(address).report.mutate(pack(message), { signal: bound }))
+      const sentAt = clock.now()
+      const message: MemberMessage = { state: options.localState(), wall: clock.wall(), known: storeUpdates.known() }
+      const answer = unpack(aggregatorAnswerSchema, await link(address).report.mutate(pack(message), { signal: timeoutSignal }))
       reachable.regained(address)
-      take(answer, askedAt)
-      await options.fetchConfiguration(address, answer.others?.configuration ?? 0, bound)
+      applyAnswer(answer, sentAt)
+      await options.fetchConfiguration(address, answer.others?.configuration ?? 0, timeoutSignal)
       return true
     } catch (error) {
       reachable.lost(address, error)
@@ -73,24 +79,24 @@
     }
   }
 
-  function take (answer: AggregatorAnswer, askedAt: Milliseconds): void {
+  function applyAnswer (answer: AggregatorAnswer, sentAt: Milliseconds): void {
     const now = clock.now()
     wall.agree(answer.wall, now)
-    relay.take(answer.news, askedAt)
-    told = { others: answer.others, at: now }
+    storeUpdates.receive(answer.news, sentAt)
+    lastAnswer = { others: answer.others, at: now }
     options.heard()
   }
 
   return {
     report: async (aggregators) => {
-      const willing = aggregators.filter((address) => !reachable.hasFailedWithin(address, AVOIDED))
-      for (const address of (willing.length > 0 ? willing : aggregators).slice(0, MOST_TRIES)) {
+      const preferred = aggregators.filter((address) => !reachable.hasFailedWithin(address, AVOIDANCE_TIME))
+      for (const address of (preferred.length > 0 ? preferred : aggregators).slice(0, MAX_REPORT_ATTEMPTS)) {
         if (await reportTo(address)) return address
         if (signal.aborted) return undefined
       }
       return undefined
     },
-    isAttached: () => told !== undefined && clock.now() - told.at < ATTACHED,
-    others: () => told !== undefined && clock.now() - told.at < SILENT_AFTER ? told.others : undefined
+    hasAggregator: () => lastAnswer !== undefined && clock.now() - lastAnswer.at < AGGREGATOR_TIMEOUT,
+    others: () => lastAnswer !== undefined && clock.now() - lastAnswer.at < SILENT_AFTER ? lastAnswer.others : undefined
   }
 }
--- a/src/gateway/rollout-duty.ts
+++ b/src/gateway/rollout-duty.ts
@@ -7,7 +7,7 @@
 import type { RolloutBounds, RolloutOrder, RolloutSituation, RolloutStatus } from '../rollout/index.js'
 import type { DutyHolder } from './duty-holder.js'
 import type { Fleet } from './fleet.js'
-import type { FollowContext } from './follow.js'
+import type { StoreContext } from './follow.js'
 import type { RolloutRegistry } from './ports.js'
 import { answerTo } from './rollout-records.js'
 import type { KnownStatus, RolloutRecords } from './rollout-records.js'
@@ -16,7 +16,7 @@
 
 /** What the duty needs. */
 export interface RolloutDutyOptions {
-  readonly context: FollowContext
+  readonly context: StoreContext
   readonly registry: RolloutRegistry
   readonly bounds: RolloutBounds
   readonly records: RolloutRecords
@@ -52,7 +52,7 @@
       tried: usable.filter((upstream) => rollouts.roleOf(upstream) === 'tried').length,
       serving: usable.filter((upstream) => rollouts.roleOf(upstream) === 'serving').length,
       versions: [...new Set(present.map(({ version }) => version))],
-      nodes: fleet.present(),
+      nodes: fleet.knownNodeCount(),
       followers: evidence.followers,
       runningBefore: runningBefore(order),
       sent: evidence.sent,
--- a/src/gateway/rollout-records.ts
+++ b/src/gateway/rollout-records.ts
@@ -6,8 +6,8 @@
 import { answers, isBehind, sameOrder } from '../rollout/index.js'
 import type { RolloutOrder, RolloutStatus } from '../rollout/index.js'
 import type { KeyValueEntry } from '../protocols/key-value.js'
-import { follow, promptTerms } from './follow.js'
-import type { FollowContext, Follower, Following } from './follow.js'
+import { followPrefix, boundedDelaySettings } from './follow.js'
+import type { StoreContext, PrefixHandler, PrefixSubscription } from './follow.js'
 import type { RolloutRegistry } from './ports.js'
 
 /** A status as this node knows it. */
@@ -29,7 +29,7 @@
   /** Time at which the statuses were last heard of; undefined before the first time. */
   statusHeardAt (): Milliseconds | undefined
   /** Takes what the operator writes beside the configuration. */
-  readonly follower: Follower
+  readonly follower: PrefixHandler
 }
 
 /** Characters of an error in a line of the log. */
@@ -44,11 +44,11 @@
  * @example
  * const records = keepRolloutRecords(context, platform.registry.rollouts, 2 * SECOND, rollouts.changed)
  */
-export function keepRolloutRecords (context: FollowContext, registry: RolloutRegistry, within: Milliseconds, changed: (service: string) => void): RolloutRecords {
+export function keepRolloutRecords (context: StoreContext, registry: RolloutRegistry, within: Milliseconds, changed: (service: string) => void): RolloutRecords {
   const { store, clock, log } = context
   const orders = new Map<string, { readonly key: string, readonly order: RolloutOrder }>()
   const statuses = new Map<string, KnownStatus>()
-  let following: Following | undefined
+  let following: PrefixSubscription | undefined
 
   function putOrder ({ key, value, revision }: KeyValueEntry): void {
     const read = registry.readOrder(key, value, revision)
@@ -77,15 +77,15 @@
     }
   }
 
-  function followStatuses (): Following {
-    return follow(context, registry.statusPrefix, {
+  function followStatuses (): PrefixSubscription {
+    return followPrefix(context, registry.statusPrefix, {
       replace: (entries) => {
         noteMissing(new Set(entries.map(({ key }) => key)))
         for (const entry of entries) putStatus(entry)
       },
       put: putStatus,
       remove: (key) => log.warn('rollout-status-removed', { key })
-    }, promptTerms(within, 0))
+    }, boundedDelaySettings(within, 0))
   }
 
   /** A return from a copy took these away; in one epoch nobody does. */
@@ -119,7 +119,7 @@
     orders: () => [...orders.values()].map(({ order }) => order),
     order: (service) => orders.get(service)?.order,
     status: (service) => statuses.get(service),
-    statusHeardAt: () => following?.heardAt(),
+    statusHeardAt: () => following?.lastContactAt(),
     follower: {
       replace: (entries) => {
         const keys = new Set(entries.map(({ key }) => key))
--- a/src/gateway/scaling-keeper.ts
+++ b/src/gateway/scaling-keeper.ts
@@ -6,13 +6,13 @@
 import { addBeside, busyEngines, createLoadFollower, createOrderBook, expectedEngines, planPools } from '../scaling/index.js'
 import type { LoadFollower, OfferedWork, OrderAnswer, OrderBook, Pool, PoolSize } from '../scaling/index.js'
 import type { DutyHolder } from './duty-holder.js'
-import type { FollowContext } from './follow.js'
+import type { StoreContext } from './follow.js'
 import type { DutyCalls, DutyProof } from './ports.js'
 import type { UpstreamView } from './upstream-view.js'
 
 /** What the keeper needs. */
 export interface ScalingKeeperOptions {
-  readonly context: FollowContext
+  readonly context: StoreContext
   readonly failureDomains: readonly string[]
   readonly table: () => RouteTable | undefined
   readonly upstreams: UpstreamView
@@ -112,7 +112,7 @@
   }
 
   async function order (proof: DutyProof, service: string, { failureDomain, reclaimable, desired }: PoolSize): Promise<OrderAnswer> {
-    duty.acted()
+    duty.recordCall()
     try {
       return await calls.order(proof, { service, failureDomain, reclaimable, desired }, signal)
     } catch (error) {
--- a/src/gateway/sending.ts
+++ b/src/gateway/sending.ts
@@ -8,7 +8,7 @@
 import type { GatewayContext } from './context.js'
 import type { Continuation, RunPlace, WatchedRun } from './evacuation.js'
 import type { ExchangeStart, UpstreamAnswer } from './exchange.js'
-import { noteBegun, noteBroken, noteSent, noteUnrun, noteWhole } from './notes.js'
+import { recordAnswerStart, recordBrokenAttempt, recordDispatch, recordNotRun, recordCompleteAnswer } from './attempt-records.js'
 import { endFailure, maySendAgain, unsent } from './passage.js'
 import type { Passage } from './passage.js'
 import { eventBound, firstAnswerBound, watchSilence } from './silence.js'
@@ -73,7 +73,7 @@
  */
 export async function sendOnce (context: GatewayContext, passage: Passage, choice: Choice, memory?: string): Promise<SendResult> {
   const attempt = beginAttempt(context, passage, choice, memory)
-  noteSent(context, passage, choice)
+  recordDispatch(context, passage, choice)
   passage.attempts += 1
   passage.arrivals += 1
   try {
@@ -174,7 +174,7 @@
       passage.attempts -= 1
       passage.unrun += 1
       if (started.reason === 'unreachable') passage.arrivals -= 1
-      noteUnrun(context, passage, attempt.upstream, started.reason)
+      recordNotRun(context, passage, attempt.upstream, started.reason)
       if (passage.signal.aborted) throw endFailure(passage)
       return { kind: 'again', verdict: 'not-run', failure: unsent(passage, 'overloaded', `upstream ${attempt.upstream.id}: ${started.reason}`) }
     case 'broken':
@@ -186,7 +186,7 @@
   // What a caller has left says nothing of the upstream; what was not answered in time does.
   if (!passage.signal.aborted || passage.signal.reason === ('time-limit' satisfies EndReason)) attempt.comparison?.broke()
   if (passage.signal.aborted) throw endFailure(passage)
-  noteBroken(context, passage, attempt.upstream, attempt.isSilent() ? 'silent' : reason)
+  recordBrokenAttempt(context, passage, attempt.upstream, attempt.isSilent() ? 'silent' : reason)
   if (attempt.isSilent()) return { kind: 'granted' }
   return { kind: 'again', verdict: 'may-have-run', failure: new ServingError(reason, { code: 'connection-lost', verdict: 'may-have-run' }) }
 }
@@ -198,7 +198,7 @@
     attempt.silence.heard(eventBound(passage.accepted.route))
     if (events === 0) noteRead(context, passage, attempt)
     if (!response.headersSent) {
-      noteBegun(context, passage, attempt.upstream)
+      recordAnswerStart(context, passage, attempt.upstream)
       response.writeHead(answer.status, context.format.answerHeaders(answer.headers))
     }
     events += count
@@ -210,7 +210,7 @@
   if (end.kind === 'broken') return brokenOff(context, passage, attempt, end.reason)
   if (place.kind === 'unknown') return brokenOff(context, passage, attempt, 'it may have been moved')
   if (progress.events === 0) return brokenOff(context, passage, attempt, 'the stream had no event')
-  noteWhole(context, passage, attempt.upstream)
+  recordCompleteAnswer(context, passage, attempt.upstream)
   response.end()
   return { kind: 'done', outcome: 'served' }
 }
@@ -227,8 +227,8 @@
   attempt.silence.stop()
   if (answer.status >= SERVER_ERROR) attempt.comparison?.failed()
   else noteAnswered(passage, attempt, context.clock.now() - attempt.since)
-  noteBegun(context, passage, attempt.upstream)
-  noteWhole(context, passage, attempt.upstream)
+  recordAnswerStart(context, passage, attempt.upstream)
+  recordCompleteAnswer(context, passage, attempt.upstream)
   if (answer.status >= SERVER_ERROR && maySendAgain(context, passage, 'ran')) {
     return { kind: 'granted' }
   }
--- a/src/gateway/upstream-keeper.ts
+++ b/src/gateway/upstream-keeper.ts
@@ -4,8 +4,8 @@
 import type { UpstreamRecord } from '../placement/index.js'
 import type { KeyValueEntry } from '../protocols/key-value.js'
 import type { UpstreamConnections } from './exchange.js'
-import { follow, promptTerms } from './follow.js'
-import type { FollowContext, Following } from './follow.js'
+import { followPrefix, boundedDelaySettings } from './follow.js'
+import type { StoreContext, PrefixSubscription } from './follow.js'
 import type { Registry } from './ports.js'
 import type { RegisteredUpstream, UpstreamView } from './upstream-view.js'
 
@@ -28,7 +28,7 @@
  * @example
  * keepUpstreams(context, platform.registry, view, connections, 2 * SECOND, evacuation.leaving)
  */
-export function keepUpstreams (context: FollowContext, registry: Registry, view: UpstreamView, connections: UpstreamConnections, drain: Milliseconds, leaving: (record: UpstreamRecord) => void): Following {
+export function keepUpstreams (context: StoreContext, registry: Registry, view: UpstreamView, connections: UpstreamConnections, drain: Milliseconds, leaving: (record: UpstreamRecord) => void): PrefixSubscription {
   const { store, clock, log, signal } = context
   const prefix = registry.upstreamPrefix
   const lives = createEndedLives()
@@ -103,7 +103,7 @@
     log.info('upstream-gone', { upstream: id, service, source })
   }
 
-  return follow(context, prefix, {
+  return followPrefix(context, prefix, {
     replace: (entries) => {
       const present = entries.map(read).filter((registered) => registered !== undefined)
       doubtful.clear()
@@ -117,5 +117,5 @@
       else put(registered, 'watch')
     },
     remove
-  }, promptTerms(drain, drain * BATCH_PART))
+  }, boundedDelaySettings(drain, drain * BATCH_PART))
 }
--- a/src/gateway/usage-keeper.ts
+++ b/src/gateway/usage-keeper.ts
@@ -11,12 +11,12 @@
 import { nextUsageStep, sumCounts, usageJournalSchema, windowOf } from '../usage/index.js'
 import type { UsageCounts, UsageJournal, UsageWindows } from '../usage/index.js'
 import type { DutyHolder } from './duty-holder.js'
-import type { FollowContext } from './follow.js'
+import type { StoreContext } from './follow.js'
 import type { DutyCalls, DutyOutcome, DutyProof } from './ports.js'
 
 /** What the keeper needs. */
 export interface UsageKeeperOptions {
-  readonly context: FollowContext
+  readonly context: StoreContext
   readonly incarnation: string
   readonly windows: UsageWindows
   readonly windowLength: Milliseconds
@@ -184,7 +184,7 @@
   }
 
   async function send (journal: UsageJournal, proof: DutyProof): Promise<DutyOutcome> {
-    duty.acted()
+    duty.recordCall()
     lastReport = { journal, proof }
     const outcome = await calls.reportUsage(proof, journal.window, journal.counts, signal)
     log.info('usage-reported', { window: journal.window, outcome, fencing: proof.fencing })
--- a/test/gateway/duty-holder.test.ts
+++ b/test/gateway/duty-holder.test.ts
@@ -1,4 +1,4 @@
-/** Who holds the duties of the gateway nodes, over interleavings of cuts, lost answers, kills and pauses. */
+/** The lease on the duties, over random sequences of disconnections, lost replies, restarts and pauses. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
@@ -18,7 +18,7 @@
 const LEASE: Milliseconds = 3 * SECOND
 const STEP: Milliseconds = 100
 
-interface Act {
+interface DutyCall {
   readonly at: Milliseconds
   readonly node: number
   readonly fencing: number
@@ -26,42 +26,42 @@
 
 interface Member {
   readonly holder: DutyHolder
-  readonly ending: AbortController
+  readonly controller: AbortController
 }
 
-/** Nodes that act whenever they hold the duties. */
-function createWorld (seed: number) {
+/** Nodes that make calls whenever they hold the duties. */
+function createCluster (seed: number) {
   const clock = createManualClock()
   const random = createRandom(seed)
   const faultSwitch = createFaultSwitch(clock, random)
   faultSwitch.faults.latency = 5
   const keys = createKeyValueStore(clock)
   const store = createDirectKeyValue(keys, faultSwitch, clock)
-  const cut = new Set<number>()
+  const disconnected = new Set<number>()
   const paused = new Set<number>()
-  const acts: Act[] = []
-  let lives = 0
+  const calls: DutyCall[] = []
+  let incarnationCount = 0
   let isTaken = false
 
   function start (node: number, firstStart: boolean): Member {
-    lives += 1
-    const ending = new AbortController()
+    incarnationCount += 1
+    const controller = new AbortController()
     const holder = createDutyHolder({
-      context: { store: reachedUnless(store, () => cut.has(node)), clock, random: createRandom(seed + lives), log: LOG, signal: ending.signal },
+      context: { store: reachedUnless(store, () => disconnected.has(node)), clock, random: createRandom(seed + incarnationCount), log: LOG, signal: controller.signal },
       node: `front-${node}`,
-      incarnation: `front-${node}-${lives}`,
+      incarnation: `front-${node}-${incarnationCount}`,
       leaseTime: LEASE,
       firstStart,
       isCandidate: () => true
     })
-    return { holder, ending }
+    return { holder, controller }
   }
 
-  /** Watches show that the key has vanished. */
-  function tellVacancy (): void {
+  /** Reports the deletion of the key to the connected nodes, as their watches do. */
+  function reportDeletion (): void {
     const wasTaken = isTaken
     isTaken = keys.get(DUTY_KEY) !== undefined
-    if (wasTaken && !isTaken) members.forEach(({ holder }, node) => { if (!cut.has(node)) holder.vacant() })
+    if (wasTaken && !isTaken) members.forEach(({ holder }, node) => { if (!disconnected.has(node)) holder.onLeaseDeleted() })
   }
 
   const members = Array.from({ length: NODES }, (_, node) => start(node, true))
@@ -69,32 +69,32 @@
   return {
     clock,
     faultSwitch,
-    cut,
+    disconnected,
     paused,
-    acts,
+    calls,
     release: async (node: number) => {
       const released = members[node]!.holder.release().catch(() => {})
       await clock.advance(STEP)
       await released
     },
     restart: (node: number) => {
-      members[node]!.ending.abort()
+      members[node]!.controller.abort()
       members[node] = start(node, false)
     },
     run: async (duration: Milliseconds) => {
       for (let passed = 0; passed < duration; passed += STEP) {
         await clock.advance(STEP)
-        tellVacancy()
+        reportDeletion()
         members.forEach(({ holder }, node) => {
           if (paused.has(node)) return
           const proof = holder.proof()
           if (proof === undefined) return
-          holder.acted()
-          acts.push({ at: clock.now(), node, fencing: proof.fencing })
+          holder.recordCall()
+          calls.push({ at: clock.now(), node, fencing: proof.fencing })
         })
       }
     },
-    stop: () => members.forEach(({ ending }) => ending.abort())
+    stop: () => members.forEach(({ controller }) => controller.abort())
   }
 }
 
@@ -111,55 +111,55 @@
 const steps = fc.array(fc.record({ step, then: fc.oneof(fc.integer({ min: 1, max: 8 }), fc.integer({ min: 1, max: 45 })) }), { maxLength: 12 })
 
 describe('the holder of the duties', () => {
-  // Two nodes order upstreams in turn, each undoing what the other ordered. One gave the duties up or was cut
-  // off while it held them, another took them, and the first took them back within the lease's time.
-  it('acts under a number of its own, never after a higher one, and not in turns within the lease\'s time', async () => {
+  // Guards against two nodes that order upstreams alternately, each undoing the orders of the other. A node releases the
+  // lease or loses its connection, a second node acquires the lease, and the first acquires it again within the lease time.
+  it('uses a fencing number of its own, never a lower one than before, and never alternates within the lease time', async () => {
     await fc.assert(fc.asyncProperty(steps, fc.nat(1_000), async (plan, seed) => {
-      const world = createWorld(seed)
-      await world.run(4 * SECOND)
+      const cluster = createCluster(seed)
+      await cluster.run(4 * SECOND)
       for (const { step, then } of plan) {
         switch (step.kind) {
-          case 'cut': world.cut.add(step.node); break
-          case 'heal': world.cut.delete(step.node); break
-          case 'restart': world.restart(step.node); break
-          case 'release': await world.release(step.node); break
-          case 'pause': world.paused.add(step.node); break
-          case 'wake': world.paused.delete(step.node); break
-          case 'lose': world.faultSwitch.faults.lostReplies = step.part
+          case 'cut': cluster.disconnected.add(step.node); break
+          case 'heal': cluster.disconnected.delete(step.node); break
+          case 'restart': cluster.restart(step.node); break
+          case 'release': await cluster.release(step.node); break
+          case 'pause': cluster.paused.add(step.node); break
+          case 'wake': cluster.paused.delete(step.node); break
+          case 'lose': cluster.faultSwitch.faults.lostReplies = step.part
         }
-        await world.run(then * STEP)
+        await cluster.run(then * STEP)
       }
-      world.stop()
-      assertOrder(world.acts)
+      cluster.stop()
+      assertCallOrder(cluster.calls)
     }), { numRuns: 60, seed: 11 })
   })
 
-  it('is found again after all nodes were cut off', async () => {
-    const world = createWorld(1)
-    await world.run(5 * SECOND)
-    for (let node = 0; node < NODES; node += 1) world.cut.add(node)
-    await world.run(10 * SECOND)
-    const before = world.acts.length
-    world.cut.clear()
-    await world.run(25 * SECOND)
-    assert.ok(before > 0 && world.acts.length > before + 50, `${before} acts before, ${world.acts.length} in all`)
-    world.stop()
-    assertOrder(world.acts)
+  it('is determined again after all nodes were disconnected', async () => {
+    const cluster = createCluster(1)
+    await cluster.run(5 * SECOND)
+    for (let node = 0; node < NODES; node += 1) cluster.disconnected.add(node)
+    await cluster.run(10 * SECOND)
+    const before = cluster.calls.length
+    cluster.disconnected.clear()
+    await cluster.run(25 * SECOND)
+    assert.ok(before > 0 && cluster.calls.length > before + 50, `${before} calls before, ${cluster.calls.length} in total`)
+    cluster.stop()
+    assertCallOrder(cluster.calls)
   })
 })
 
-function assertOrder (acts: readonly Act[]): void {
+function assertCallOrder (calls: readonly DutyCall[]): void {
   const owners = new Map<number, number>()
-  const last = new Map<number, Milliseconds>()
-  let highest = 0
-  let previous: number | undefined
-  for (const { at, node, fencing } of acts) {
-    assert.equal(owners.get(fencing) ?? node, node, `number ${fencing} belongs to two nodes`)
-    assert.ok(fencing >= highest, `number ${fencing} after ${highest}`)
-    if (previous !== undefined && previous !== node) assert.ok(at - (last.get(node) ?? -Infinity) >= LEASE, `node ${node} acts again ${at - (last.get(node) ?? 0)} ms after it, with another between`)
+  const lastCallAt = new Map<number, Milliseconds>()
+  let highestFencing = 0
+  let previousNode: number | undefined
+  for (const { at, node, fencing } of calls) {
+    assert.equal(owners.get(fencing) ?? node, node, `fencing number ${fencing} used by two nodes`)
+    assert.ok(fencing >= highestFencing, `fencing number ${fencing} after ${highestFencing}`)
+    if (previousNode !== undefined && previousNode !== node) assert.ok(at - (lastCallAt.get(node) ?? -Infinity) >= LEASE, `node ${node} calls again after ${at - (lastCallAt.get(node) ?? 0)} ms, with a call of another node in between`)
     owners.set(fencing, node)
-    highest = fencing
-    last.set(node, at)
-    previous = node
+    highestFencing = fencing
+    lastCallAt.set(node, at)
+    previousNode = node
   }
 }
--- a/test/gateway/many-nodes.test.ts
+++ b/test/gateway/many-nodes.test.ts
@@ -1,4 +1,4 @@
-/** More nodes than all exchange directly, with the platform's stand-ins, in one process. */
+/** A fleet with members, in one process with the platform's stand-ins. */
 import assert from 'node:assert/strict'
 import { after, before, describe, it } from 'node:test'
 import { request } from 'undici'
@@ -14,7 +14,7 @@
 const clock = createSystemClock()
 const HOST = 'api.example'
 const NODES = EQUALS + 2
-const LONG_PAUSE = 5 * SECOND
+const ENDLESS_PAUSE = 5 * SECOND
 
 const configuration = (version: number, ...routes: string[]): object => ({
   version,
@@ -30,7 +30,7 @@
   let deployment: MachineDeployment
   let nodes: GatewayNode[]
   let upstreams: UpstreamStandIn[]
-  let ids = 0
+  let requestCount = 0
 
   before(async () => {
     deployment = await createMachineDeployment(clock)
@@ -47,36 +47,36 @@
 
   async function statuses (route: string): Promise<number[]> {
     return Promise.all(nodes.map(async (node) => {
-      ids += 1
-      const { statusCode, body } = await request(`http://${node.addresses.front}/${route}/x`, { headers: { host: HOST, 'x-hornbeamgap-request-id': `r${ids}`, 'x-hornbeamgap-deadline-ms': '2000' } })
+      requestCount += 1
+      const { statusCode, body } = await request(`http://${node.addresses.front}/${route}/x`, { headers: { host: HOST, 'x-hornbeamgap-request-id': `r${requestCount}`, 'x-hornbeamgap-deadline-ms': '2000' } })
       await body.dump()
       return statusCode
     }))
   }
 
-  async function until (condition: () => Promise<boolean> | boolean): Promise<void> {
+  async function waitUntil (condition: () => Promise<boolean> | boolean): Promise<void> {
     while (!(await condition())) await clock.sleep(20)
   }
 
-  const rolesOf = (role: string): number => new Set(deployment.lines.filter((line) => line.event === 'exchange-role' && line.role === role).map((line) => line.process)).size
+  const countNodesInRole = (role: string): number => new Set(deployment.lines.filter((line) => line.event === 'exchange-role' && line.role === role).map((line) => line.process)).size
 
-  it('become few aggregators and their members, and all serve', async () => {
-    await until(() => rolesOf('member') >= NODES - EQUALS)
-    await until(async () => (await statuses('first')).every((status) => status === 200))
+  it('divide into a few aggregators and their members, and all serve', async () => {
+    await waitUntil(() => countNodesInRole('member') >= NODES - EQUALS)
+    await waitUntil(async () => (await statuses('first')).every((status) => status === 200))
   })
 
-  // The operators add a route and take one away. Members, which don't watch the store, answered 404 for the new one and
-  // went on serving the old one.
-  it('all follow the configuration, members by what their aggregators tell them', async () => {
+  // Guards against members that miss a configuration change because they don't watch the store: they would answer 404 for an
+  // added route and keep serving a removed route.
+  it('all follow the configuration, members through the updates of their aggregators', async () => {
     deployment.configure(configuration(2, 'second'))
-    await until(async () => (await statuses('second')).every((status) => status === 200))
-    await until(async () => (await statuses('first')).every((status) => status === 404))
+    await waitUntil(async () => (await statuses('second')).every((status) => status === 200))
+    await waitUntil(async () => (await statuses('first')).every((status) => status === 404))
   })
 
-  it('all leave an upstream that gives notice alone', async () => {
+  it('all stop dispatching to an upstream that announces its departure', async () => {
     const [leaving] = upstreams
     deployment.register(leaving!, { state: 'draining' })
-    await until(() => new Set(deployment.lines.filter((line) => line.event === 'upstream-leaving' && line.upstream === leaving!.id).map((line) => line.process)).size === NODES)
+    await waitUntil(() => new Set(deployment.lines.filter((line) => line.event === 'upstream-leaving' && line.upstream === leaving!.id).map((line) => line.process)).size === NODES)
     const before = leaving!.runs.length
     assert.ok((await statuses('second')).every((status) => status === 200))
     assert.equal(leaving!.runs.length, before)
@@ -84,12 +84,12 @@
 })
 
 describe('a node that starts', () => {
-  // The upstreams that are found at the start were paid for until the traffic came: the first node had to be put together
-  // before it might take the duties, missed its first look at their key, and looked again after some ten seconds.
-  it('takes the duties without waiting for its next look at their key', { timeout: 60_000 }, async () => {
-    // Pauses as long as those between two looks never end here.
-    const hasty: Clock = { ...clock, sleep: (duration, signal) => duration < LONG_PAUSE ? clock.sleep(duration, signal) : untilAborted(signal) }
-    const deployment = await createMachineDeployment(hasty)
+  // Guards against surplus upstreams that run on, and are charged for, after the start. A node that isn't a candidate yet at
+  // its first read of the lease's key would read the key again only about ten seconds later.
+  it('takes the duties without waiting for its next periodic read of the key', { timeout: 60_000 }, async () => {
+    // With this clock, a pause as long as the one between two periodic reads of the key never ends.
+    const clockWithoutLongPauses: Clock = { ...clock, sleep: (duration, signal) => duration < ENDLESS_PAUSE ? clock.sleep(duration, signal) : untilAborted(signal) }
+    const deployment = await createMachineDeployment(clockWithoutLongPauses)
     await deployment.startNode('alone')
     while (!deployment.lines.some((line) => line.event === 'duty-taken')) await clock.sleep(20)
     await deployment.close()
--- a/test/gateway/packing.test.ts
+++ b/test/gateway/packing.test.ts
@@ -1,4 +1,4 @@
-/** Messages between nodes as they are packed. */
+/** Encoding of messages between nodes. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { pack, unpack } from '../../src/gateway/packing.js'
@@ -6,9 +6,9 @@
 import type { AggregatorAnswer } from '../../src/gossip/index.js'
 
 describe('a message between nodes', () => {
-  // All nodes of a large fleet are killed at once and come back knowing nothing. The first answer of an aggregator holds
-  // all that stands in the store, is larger than what a member reads, and fails; so does each one after it.
-  it('is read with the records of 3,000 upstreams and a configuration of 2,000 routes', () => {
+  // Guards against members that never receive an answer after a restart of the whole fleet. The first answer of an aggregator
+  // contains all store entries. If it exceeds the size limit, decoding fails, and so does every further answer.
+  it('is decoded with the records of 3,000 upstreams and a configuration of 2,000 routes', () => {
     const record = (index: number) => ({
       key: `upstreams/i-${index.toString(16).padStart(10, '0')}`,
       value: JSON.stringify({ service: 'service-a', address: `10.128.${index % 250}.9:8080`, zone: 'failure-domain-a', version: 'v1', slots: 64, state: 'ready', coldRemainingMs: 0, stage: 'both', models: [{ name: 'm', version: 1, adapters: [] }], sequence: index }),
@@ -27,7 +27,7 @@
     assert.deepEqual(unpack(aggregatorAnswerSchema, pack(answer)), answer)
   })
 
-  it('is refused where it is none', () => {
+  it('is rejected if the text is not an encoded message', () => {
     assert.throws(() => unpack(aggregatorAnswerSchema, 'no message'), { code: 'invalid-request' })
   })
 })
--- a/test/gateway/replica.test.ts
+++ b/test/gateway/replica.test.ts
@@ -1,46 +1,47 @@
+/** Copies of a prefix that nodes build from the store and from each other's updates. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
-import { createReplica } from '../../src/gateway/replica.js'
-import type { Replica } from '../../src/gateway/replica.js'
+import { createPrefixReplica } from '../../src/gateway/replica.js'
+import type { PrefixReplica } from '../../src/gateway/replica.js'
 import type { KeyValueEntry } from '../../src/protocols/key-value.js'
 
-/** A copy, and what its follower has been told of. */
-function follow (): { readonly replica: Replica, readonly told: Map<string, number> } {
-  const told = new Map<string, number>()
-  const replica = createReplica({
+/** A copy, and the revisions by key that its handler has received. */
+function createFollowedCopy (): { readonly replica: PrefixReplica, readonly told: Map<string, number> } {
+  const received = new Map<string, number>()
+  const replica = createPrefixReplica({
     replace: (entries) => {
-      told.clear()
-      for (const { key, revision } of entries) told.set(key, revision)
+      received.clear()
+      for (const { key, revision } of entries) received.set(key, revision)
     },
-    put: ({ key, revision }) => { told.set(key, revision) },
-    remove: (key) => { told.delete(key) }
+    put: ({ key, revision }) => { received.set(key, revision) },
+    remove: (key) => { received.delete(key) }
   })
-  return { replica, told }
+  return { replica, told: received }
 }
 
-describe('a copy of a prefix that is passed on', () => {
-  // A member has read the store itself, hears of two aggregators in turn, each some changes behind, and takes the end of
-  // an upstream's life for the end of the next one.
-  it('ends as the store stands, whoever passes what on, and in which order', () => {
+describe('a copy of a prefix that is shared with other nodes', () => {
+  // Guards against a member that removes the entry of an upstream's present incarnation when it receives the removal of the
+  // previous incarnation. The member has read the store itself and receives updates from two aggregators that lag behind.
+  it('ends with the content of the store, whichever aggregators send updates in whichever order', () => {
     const step = fc.record({ key: fc.integer({ min: 0, max: 5 }), kind: fc.constantFrom('put', 'put', 'remove', 'hear-a', 'hear-b', 'tell-a', 'tell-b', 'list'), count: fc.integer({ min: 1, max: 4 }) })
     fc.assert(fc.property(fc.array(step, { maxLength: 120, size: 'max' }), (steps) => {
       const store = new Map<string, KeyValueEntry>()
       const history: (KeyValueEntry | { readonly key: string, readonly revision: number })[] = []
-      const aggregators = { a: { ...follow(), at: 0 }, b: { ...follow(), at: 0 } }
-      const member = follow()
+      const aggregators = { a: { ...createFollowedCopy(), at: 0 }, b: { ...createFollowedCopy(), at: 0 } }
+      const member = createFollowedCopy()
       let revision = 1
       for (const name of ['a', 'b'] as const) aggregators[name].replica.replaceAt([], revision)
 
-      const hear = (name: 'a' | 'b', count: number): void => {
-        const one = aggregators[name]
-        for (const change of history.slice(one.at, one.at + count)) {
-          if ('value' in change) one.replica.put(change)
-          else one.replica.remove(change.key, change.revision)
+      const deliverChanges = (name: 'a' | 'b', count: number): void => {
+        const aggregator = aggregators[name]
+        for (const change of history.slice(aggregator.at, aggregator.at + count)) {
+          if ('value' in change) aggregator.replica.put(change)
+          else aggregator.replica.remove(change.key, change.revision)
         }
-        one.at = Math.min(history.length, one.at + count)
+        aggregator.at = Math.min(history.length, aggregator.at + count)
       }
-      const tell = (name: 'a' | 'b'): void => {
+      const sendUpdate = (name: 'a' | 'b'): void => {
         const { replica } = aggregators[name]
         member.replica.apply({ prefix: '', age: 0, ...replica.since(member.replica.revision()) })
       }
@@ -57,21 +58,21 @@
             revision += 1
             history.push({ key, revision })
             break
-          case 'hear-a': hear('a', count); break
-          case 'hear-b': hear('b', count); break
-          case 'tell-a': tell('a'); break
-          case 'tell-b': tell('b'); break
+          case 'hear-a': deliverChanges('a', count); break
+          case 'hear-b': deliverChanges('b', count); break
+          case 'tell-a': sendUpdate('a'); break
+          case 'tell-b': sendUpdate('b'); break
           case 'list': member.replica.replaceAt([...store.values()], revision)
         }
       }
-      hear('a', history.length)
-      tell('a')
+      deliverChanges('a', history.length)
+      sendUpdate('a')
       assert.deepEqual(new Map([...member.told].sort()), new Map([...store.values()].map((entry) => [entry.key, entry.revision] as const).sort()))
     }), { numRuns: 300 })
   })
 
-  it('is passed on whole to one that lacks removals which are not remembered any more', () => {
-    const { replica } = follow()
+  it('is sent as a whole to a node that lacks removals which are no longer kept', () => {
+    const { replica } = createFollowedCopy()
     replica.replaceAt([{ key: 'old', value: '', revision: 1 }], 1)
     for (let revision = 2; revision < 1_200; revision += 2) {
       replica.put({ key: `k${revision}`, value: '', revision })
--- a/test/gateway/rollout-records.test.ts
+++ b/test/gateway/rollout-records.test.ts
@@ -5,7 +5,7 @@
 import { createRegistry } from '../../platform/registry.js'
 import { SECOND } from '../../src/clock.js'
 import type { Milliseconds } from '../../src/clock.js'
-import { follow, promptTerms } from '../../src/gateway/follow.js'
+import { followPrefix, boundedDelaySettings } from '../../src/gateway/follow.js'
 import { keepRolloutDuty } from '../../src/gateway/rollout-duty.js'
 import type { RolloutDutyOptions } from '../../src/gateway/rollout-duty.js'
 import { keepRolloutRecords } from '../../src/gateway/rollout-records.js'
@@ -37,7 +37,7 @@
     const store = createDirectKeyValue(keys, createFaultSwitch(clock, random), clock)
     const context = { store, clock, random, log: LOG, signal: ending.signal }
     const records = keepRolloutRecords(context, registry, 2 * SECOND, () => {})
-    follow(context, 'op/', records.follower, promptTerms(2 * SECOND, 0))
+    followPrefix(context, 'op/', records.follower, boundedDelaySettings(2 * SECOND, 0))
     return { context, records }
   }
 
--- a/test/gateway/store-restored.test.ts
+++ b/test/gateway/store-restored.test.ts
@@ -1,4 +1,4 @@
-/** Nodes with duties whose store comes back from a copy, over interleavings of restores, kills, cuts and lost answers. */
+/** Duties after the store is restored from a backup, over random sequences of restores, restarts, disconnections and lost replies. */
 import assert from 'node:assert/strict'
 import { setMaxListeners } from 'node:events'
 import { describe, it } from 'node:test'
@@ -28,7 +28,7 @@
 const DUE: Milliseconds = 10 * SECOND
 const STEP: Milliseconds = 100
 
-/** Copies are this far apart. */
+/** Time between two backups. */
 const BACKUP_PERIOD: Milliseconds = 500
 
 interface Report {
@@ -38,8 +38,8 @@
   readonly counts: UsageCounts
 }
 
-/** A node may act under a number. */
-interface Act {
+/** A node holds the duties under a fencing number. */
+interface HeldDuty {
   readonly at: Milliseconds
   readonly node: number
   readonly fencing: number
@@ -49,36 +49,36 @@
   readonly holder: DutyHolder
   readonly store: KeyValue
   readonly windows: UsageWindows
-  readonly ending: AbortController
-  /** The lease's key stood there when this node last looked. */
-  sawTaken: boolean
+  readonly controller: AbortController
+  /** Whether the lease's key existed when this node last saw the store. */
+  sawKey: boolean
 }
 
-/** Nodes that serve, hold the duties in turn and report usage to a platform that checks fencing numbers. */
-function createWorld (seed: number) {
+/** Nodes that serve, compete for the duties and report usage to a platform that checks fencing numbers. */
+function createCluster (seed: number) {
   const clock = createManualClock(20 * SECOND)
   const random = createRandom(seed)
   const faultSwitch = createFaultSwitch(clock, random)
   faultSwitch.faults.latency = 5
   const keys = createKeyValueStore(clock)
   const backups: Backup[] = []
-  const cut = new Set<number>()
+  const disconnected = new Set<number>()
   const accepted: Report[] = []
-  const acts: Act[] = []
-  let highest = 0
-  let lives = 0
-  let lostReports = 0
-  /** Reports that the platform carries out this long after their caller has given up. */
-  let reportsLateBy: Milliseconds = 0
-  const late: DirectFaults = { lateBy: 0, lateEvery: 3 }
+  const heldDuties: HeldDuty[] = []
+  let highestFencing = 0
+  let incarnationCount = 0
+  let unansweredFraction = 0
+  /** Delay with which the platform processes half of the reports, after their caller has given up. */
+  let reportDelay: Milliseconds = 0
+  const writeDelays: DirectFaults = { lateBy: 0, lateEvery: 3 }
 
   function start (node: number, firstStart: boolean): Member {
-    lives += 1
-    const ending = new AbortController()
-    setMaxListeners(0, ending.signal)
-    const store = reachedUnless(createDirectKeyValue(keys, faultSwitch, clock, late), () => cut.has(node))
-    const context = { store, clock, random: createRandom(seed + lives), log: LOG, signal: ending.signal }
-    const incarnation = `front-${node}-${lives}`
+    incarnationCount += 1
+    const controller = new AbortController()
+    setMaxListeners(0, controller.signal)
+    const store = reachedUnless(createDirectKeyValue(keys, faultSwitch, clock, writeDelays), () => disconnected.has(node))
+    const context = { store, clock, random: createRandom(seed + incarnationCount), log: LOG, signal: controller.signal }
+    const incarnation = `front-${node}-${incarnationCount}`
     const windows = createUsageWindows(WINDOW)
     const holder = createDutyHolder({ context, node: `front-${node}`, incarnation, leaseTime: LEASE, firstStart, isCandidate: () => true })
     keepUsage({
@@ -95,30 +95,30 @@
       isMember: () => false,
       fencingIsChecked: true
     })
-    holder.vacant()
-    return { holder, store, windows, ending, sawTaken: false }
+    holder.onLeaseDeleted()
+    return { holder, store, windows, controller, sawKey: false }
   }
 
   function sendReport (proof: DutyProof, window: number, counts: UsageCounts): 'accepted' | 'superseded' | 'unavailable' {
-    if (reportsLateBy === 0 || random.fraction() < 0.5) return reportUsage(proof, window, counts)
-    clock.sleep(reportsLateBy).then(() => reportUsage(proof, window, counts)).catch(() => {})
+    if (reportDelay === 0 || random.fraction() < 0.5) return reportUsage(proof, window, counts)
+    clock.sleep(reportDelay).then(() => reportUsage(proof, window, counts)).catch(() => {})
     return 'unavailable'
   }
 
   function reportUsage (proof: DutyProof, window: number, counts: UsageCounts): 'accepted' | 'superseded' | 'unavailable' {
-    if (proof.fencing < highest) return 'superseded'
-    highest = proof.fencing
+    if (proof.fencing < highestFencing) return 'superseded'
+    highestFencing = proof.fencing
     accepted.push({ at: clock.now(), proof, window, counts })
-    return random.fraction() < lostReports ? 'unavailable' : 'accepted'
+    return random.fraction() < unansweredFraction ? 'unavailable' : 'accepted'
   }
 
-  /** Watches show that the lease's key has vanished, once a node knows the store's epoch. */
-  function tellVacancy (): void {
+  /** Reports the deletion of the lease's key to connected nodes that know the store's epoch, as their watches do. */
+  function reportDeletion (): void {
     const present = keys.get(DUTY_KEY) !== undefined
     members.forEach((member, node) => {
-      if (cut.has(node) || member.store.epochs.current() !== keys.epoch()) return
-      if (member.sawTaken && !present) member.holder.vacant()
-      member.sawTaken = present
+      if (disconnected.has(node) || member.store.epochs.current() !== keys.epoch()) return
+      if (member.sawKey && !present) member.holder.onLeaseDeleted()
+      member.sawKey = present
     })
   }
 
@@ -129,10 +129,10 @@
       if (clock.now() % BACKUP_PERIOD === 0) backups.push(keys.backUp())
       members.forEach(({ windows }, node) => { if (random.fraction() < 0.3 + 0.2 * node) windows.recordStart('tejo', clock.wall()) })
       await clock.advance(STEP)
-      tellVacancy()
+      reportDeletion()
       members.forEach(({ holder }, node) => {
         const proof = holder.proof()
-        if (proof !== undefined) acts.push({ at: clock.now(), node, fencing: proof.fencing })
+        if (proof !== undefined) heldDuties.push({ at: clock.now(), node, fencing: proof.fencing })
       })
     }
   }
@@ -140,20 +140,20 @@
   return {
     clock,
     accepted,
-    acts,
-    cut,
+    heldDuties,
+    disconnected,
     run,
-    loseReplies: (part: number) => { faultSwitch.faults.lostReplies = part },
-    /** One write in three is carried out this long after its caller has given up; none where it is 0. */
-    delayWrites: (by: Milliseconds) => { late.lateBy = by },
-    /** Part of the reports that the platform accepts without an answer. */
-    loseReports: (part: number) => { lostReports = part },
-    delayReports: (by: Milliseconds) => { reportsLateBy = by },
+    loseReplies: (fraction: number) => { faultSwitch.faults.lostReplies = fraction },
+    /** Sets the delay with which the store executes every third write, after its caller has given up; 0 for no delay. */
+    delayWrites: (by: Milliseconds) => { writeDelays.lateBy = by },
+    /** Sets the fraction of the reports that the platform accepts without an answer. */
+    loseReports: (fraction: number) => { unansweredFraction = fraction },
+    delayReports: (by: Milliseconds) => { reportDelay = by },
     restart: (node: number) => {
-      members[node]!.ending.abort()
+      members[node]!.controller.abort()
       members[node] = start(node, false)
     },
-    /** The store is away and comes back as it was `age` before that. */
+    /** Takes the store down for some time, then restores it from a backup that is `age` old at the start of the outage. */
     restore: async (away: Milliseconds, age: Milliseconds) => {
       faultSwitch.faults.down = true
       const backup = backups.at(-1 - Math.round(age / BACKUP_PERIOD)) ?? backups[0]!
@@ -161,7 +161,7 @@
       keys.restore(backup)
       faultSwitch.faults.down = false
     },
-    stop: () => members.forEach(({ ending }) => ending.abort())
+    stop: () => members.forEach(({ controller }) => controller.abort())
   }
 }
 
@@ -178,92 +178,93 @@
 )
 const steps = fc.array(fc.record({ step, then: fc.integer({ min: 0, max: 90 }) }), { minLength: 1, maxLength: 6 })
 
-describe('duties over a store that comes back from a copy', () => {
-  // Guards against usage of a window that is reported again, with other counts, since the record of its report was lost.
+describe('duties over a store that is restored from a backup', () => {
+  // Guards against a window that is reported twice with different counts, because the record of the first report was lost.
   it('report each window once, or with the same counts', async () => {
-    const world = createWorld(1)
-    await world.run(25 * SECOND)
-    await world.restore(2.6 * SECOND, 6 * SECOND)
-    await world.run(30 * SECOND)
-    world.stop()
-    assert.ok(world.accepted.length >= 6, `${world.accepted.length} reports`)
-    assertSameCounts(world.accepted)
+    const cluster = createCluster(1)
+    await cluster.run(25 * SECOND)
+    await cluster.restore(2.6 * SECOND, 6 * SECOND)
+    await cluster.run(30 * SECOND)
+    cluster.stop()
+    assert.ok(cluster.accepted.length >= 6, `${cluster.accepted.length} reports`)
+    assertSameCounts(cluster.accepted)
   })
 
-  // Guards against usage that is never reported, since its record was lost although the node that reported lives on.
-  it('report every window where the holder lives on', async () => {
+  // Guards against a window that is never reported, because its record was lost while the reporting node kept running.
+  it('report every window if the holder keeps running', async () => {
     for (const age of [1, 3, 6]) {
-      const world = createWorld(age)
-      await world.run(20 * SECOND)
-      for (let returns = 0; returns < 3; returns += 1) {
-        await world.run(7 * SECOND)
-        await world.restore(2.6 * SECOND, age * SECOND)
-        // The next return comes before the next report, or after it.
-        await world.run(returns === 0 ? 3.5 * SECOND : 10 * SECOND)
-        if (returns === 0) await world.restore(SECOND, SECOND)
+      const cluster = createCluster(age)
+      await cluster.run(20 * SECOND)
+      for (let round = 0; round < 3; round += 1) {
+        await cluster.run(7 * SECOND)
+        await cluster.restore(2.6 * SECOND, age * SECOND)
+        // The next restore comes before the next report, or after it.
+        await cluster.run(round === 0 ? 3.5 * SECOND : 10 * SECOND)
+        if (round === 0) await cluster.restore(SECOND, SECOND)
       }
-      world.stop()
-      assertSameCounts(world.accepted)
-      const windows = [...new Set(world.accepted.map(({ window }) => window))]
-      assert.deepEqual(windows, windows.map((_, index) => windows[0]! + index), `copies of ${age} s`)
+      cluster.stop()
+      assertSameCounts(cluster.accepted)
+      const windows = [...new Set(cluster.accepted.map(({ window }) => window))]
+      assert.deepEqual(windows, windows.map((_, index) => windows[0]! + index), `backups ${age} s old`)
       assert.ok(windows.length >= 14, `${windows.length} windows`)
     }
   })
 
-  // Guards against a window whose report was accepted without an answer, just before its record was lost.
-  it('report a window with the same counts whose report was not answered', async () => {
-    for (const part of [3, 4, 5, 6, 7, 8]) {
-      const world = createWorld(part)
-      await world.run(20 * SECOND)
-      world.loseReports(1)
-      await world.run(part * SECOND)
-      await world.restore(SECOND, 8 * SECOND)
-      world.loseReports(0)
-      await world.run(20 * SECOND)
-      world.stop()
-      assertSameCounts(world.accepted)
+  // Guards against different counts for a window whose report was accepted without an answer just before its record was lost.
+  it('repeat a report that was not answered with the same counts', async () => {
+    for (const seconds of [3, 4, 5, 6, 7, 8]) {
+      const cluster = createCluster(seconds)
+      await cluster.run(20 * SECOND)
+      cluster.loseReports(1)
+      await cluster.run(seconds * SECOND)
+      await cluster.restore(SECOND, 8 * SECOND)
+      cluster.loseReports(0)
+      await cluster.run(20 * SECOND)
+      cluster.stop()
+      assertSameCounts(cluster.accepted)
     }
   })
 
-  // Guards against duties that nobody does until the next look at their key, since the holder's lease is of before.
-  it('are done again within two leases of the return, by one node, and not before one', async () => {
+  // Guards against duties that no node performs until the next periodic read of the key, because the holder's lease dates from
+  // before the restore.
+  it('resume at one node, between one and two lease times after the restore', async () => {
     for (const age of [1, 2, 4, 8]) {
-      const world = createWorld(age)
-      await world.run(20 * SECOND)
-      await world.restore(SECOND, age * SECOND)
-      const returnedAt = world.clock.now()
-      await world.run(10 * SECOND)
-      world.stop()
-      const since = world.acts.filter(({ at }) => at > returnedAt + 2 * LEASE)
-      assert.ok(since.length > 0 && since[0]!.at < returnedAt + 2 * LEASE + SECOND, `copy of ${age} s: first act ${(since[0]?.at ?? Infinity) - returnedAt} ms after the return`)
+      const cluster = createCluster(age)
+      await cluster.run(20 * SECOND)
+      await cluster.restore(SECOND, age * SECOND)
+      const restoredAt = cluster.clock.now()
+      await cluster.run(10 * SECOND)
+      cluster.stop()
+      const since = cluster.heldDuties.filter(({ at }) => at > restoredAt + 2 * LEASE)
+      assert.ok(since.length > 0 && since[0]!.at < restoredAt + 2 * LEASE + SECOND, `backup ${age} s old: first held ${(since[0]?.at ?? Infinity) - restoredAt} ms after the restore`)
       assert.equal(new Set(since.map(({ node }) => node)).size, 1)
-      const known = world.acts.filter(({ at }) => at > returnedAt + SECOND)
-      assert.ok(known[0]!.at >= returnedAt + LEASE, `copy of ${age} s: acts ${known[0]!.at - returnedAt} ms after the return`)
+      const known = cluster.heldDuties.filter(({ at }) => at > restoredAt + SECOND)
+      assert.ok(known[0]!.at >= restoredAt + LEASE, `backup ${age} s old: held ${known[0]!.at - restoredAt} ms after the restore`)
     }
   })
 
-  // The same, whoever is killed or cut off meanwhile, and against fencing numbers that come again.
-  it('report each window with the same counts, under numbers that rise and belong to one node', async () => {
+  // Guards against the same failures, and against reused fencing numbers, while nodes restart and lose their connections.
+  it('report each window with the same counts, under rising fencing numbers of one node each', async () => {
     await fc.assert(fc.asyncProperty(steps, fc.nat(1_000), async (plan, seed) => {
-      const world = createWorld(seed)
-      await world.run(20 * SECOND)
+      const cluster = createCluster(seed)
+      await cluster.run(20 * SECOND)
       for (const { step, then } of plan) {
         switch (step.kind) {
-          case 'restore': await world.restore(step.away * STEP, step.age * BACKUP_PERIOD); break
-          case 'cut': world.cut.add(step.node); break
-          case 'heal': world.cut.delete(step.node); break
-          case 'restart': world.restart(step.node); break
-          case 'lose-replies': world.loseReplies(step.part); break
-          case 'delay-writes': world.delayWrites(step.by); break
-          case 'delay-reports': world.delayReports(step.by); break
-          case 'lose-reports': world.loseReports(step.part)
+          case 'restore': await cluster.restore(step.away * STEP, step.age * BACKUP_PERIOD); break
+          case 'cut': cluster.disconnected.add(step.node); break
+          case 'heal': cluster.disconnected.delete(step.node); break
+          case 'restart': cluster.restart(step.node); break
+          case 'lose-replies': cluster.loseReplies(step.part); break
+          case 'delay-writes': cluster.delayWrites(step.by); break
+          case 'delay-reports': cluster.delayReports(step.by); break
+          case 'lose-reports': cluster.loseReports(step.part)
         }
-        await world.run(then * STEP)
+        await cluster.run(then * STEP)
       }
-      await world.run(15 * SECOND)
-      world.stop()
-      assertSameCounts(world.accepted)
-      assertNumbers(world.accepted)
+      await cluster.run(15 * SECOND)
+      cluster.stop()
+      assertSameCounts(cluster.accepted)
+      assertFencingNumbers(cluster.accepted)
     }), { numRuns: 60, seed: 38 })
   })
 })
@@ -271,21 +272,21 @@
 function assertSameCounts (accepted: readonly Report[]): void {
   const known = new Map<number, UsageCounts>()
   for (const { at, window, counts } of accepted) {
-    assert.deepEqual(counts, known.get(window) ?? counts, `window ${window} again at ${at} ms`)
+    assert.deepEqual(counts, known.get(window) ?? counts, `window ${window} reported again at ${at} ms`)
     known.set(window, counts)
   }
 }
 
-/** No number belongs to two nodes, and none acts again within the lease's time with another between. */
-function assertNumbers (accepted: readonly Report[]): void {
+/** No fencing number is used by two nodes, and no node reports again within the lease time after a report of another node. */
+function assertFencingNumbers (accepted: readonly Report[]): void {
   const owners = new Map<number, string>()
-  const last = new Map<string, Milliseconds>()
-  let previous: string | undefined
+  const lastReportAt = new Map<string, Milliseconds>()
+  let previousHolder: string | undefined
   for (const { at, proof: { holder, fencing } } of accepted) {
-    assert.equal(owners.get(fencing) ?? holder, holder, `number ${fencing} belongs to two nodes`)
-    if (previous !== undefined && previous !== holder) assert.ok(at - (last.get(holder) ?? -Infinity) >= LEASE, `${holder} acts again ${at - (last.get(holder) ?? 0)} ms after it, with another between`)
+    assert.equal(owners.get(fencing) ?? holder, holder, `fencing number ${fencing} used by two nodes`)
+    if (previousHolder !== undefined && previousHolder !== holder) assert.ok(at - (lastReportAt.get(holder) ?? -Infinity) >= LEASE, `${holder} reports again after ${at - (lastReportAt.get(holder) ?? 0)} ms, with a report of another node in between`)
     owners.set(fencing, holder)
-    last.set(holder, at)
-    previous = holder
+    lastReportAt.set(holder, at)
+    previousHolder = holder
   }
 }
--- a/test/gateway/usage-keeper.test.ts
+++ b/test/gateway/usage-keeper.test.ts
@@ -34,7 +34,7 @@
         windowLength: WINDOW,
         due: 10 * SECOND,
         sharedWall: clock.wall,
-        duty: { proof: () => ({ holder: incarnation, fencing: 1 }), superseded: () => {}, acted: () => {}, vacant: () => {}, release: async () => {} },
+        duty: { proof: () => ({ holder: incarnation, fencing: 1 }), superseded: () => {}, recordCall: () => {}, onLeaseDeleted: () => {}, release: async () => {} },
         calls: {
           reportUsage: async (_proof, window) => {
             reported.push(window)
