--- a/src/gateway/acceptance.ts
+++ b/src/gateway/acceptance.ts
@@ -1,4 +1,4 @@
-/** Checks of a request before any upstream hears of it: route, key, size, quota. */
+/** Checks of a request before it is sent to any upstream: route, key and quota. */
 import type { Milliseconds } from '../clock.js'
 import type { Organisation, Route, RouteTable } from '../routing/index.js'
 import type { GatewayContext } from './context.js'
@@ -6,28 +6,28 @@
 import { ServingError } from '../verdict.js'
 import type { FailureCode } from '../verdict.js'
 
-/** A request that passed its head's checks. */
+/** A request whose head has passed the checks. */
 export interface AcceptedRequest {
   readonly head: RequestHead & { readonly id: string }
   readonly route: Route
-  /** Undefined on anonymous routes. */
+  /** Undefined if the request has no known key, which is allowed on anonymous routes. */
   readonly organisation: Organisation | undefined
-  /** Rank, 0 is the most urgent. */
+  /** Rank; 0 is the most urgent. */
   readonly priority: number
 }
 
-/** Time after which a node without configuration is worth another question: a restart is through by then. */
-const CONFIGURATION_WAIT: Milliseconds = 300
+/** `Retry-After` of a node without a configuration. A restarting node has loaded its configuration within this time. */
+const CONFIGURATION_RETRY_AFTER: Milliseconds = 300
 
 /**
- * Checks what the head tells.
+ * Checks the headers of a request.
  *
  * @throws ServingError `not-run` with the code of the first check that failed
  * @example
- * const accepted = acceptHead(context.table(), head, request.headers.host, request.url)
+ * const accepted = acceptHead(context.routeTable(), head, request.headers.host, request.url)
  */
 export function acceptHead (table: RouteTable | undefined, head: RequestHead, host: string | undefined, path: string): AcceptedRequest {
-  if (table === undefined) throw refusal('no-configuration', 'no configuration is known yet', CONFIGURATION_WAIT)
+  if (table === undefined) throw refusal('no-configuration', 'no configuration is known yet', CONFIGURATION_RETRY_AFTER)
   if (head.id === undefined || head.id === '') throw refusal('invalid-request', 'the request has no id')
   const route = table.route(host ?? '', path)
   if (route === undefined) throw refusal('not-found', 'no route matches')
@@ -43,26 +43,27 @@
 }
 
 /**
- * Takes a request's units from its organisation's quota.
+ * Charges a request to its organisation's quota.
  *
- * @throws ServingError `organisation-limit`, `not-run`, with the time until there are units again
+ * @returns function that refunds the charge
+ * @throws ServingError `organisation-limit`, `not-run`, with the time until the quota allows the request
  * @example
  * const giveBack = takeQuota(context, accepted)
  */
 export function takeQuota (context: GatewayContext, { head, organisation }: AcceptedRequest): () => void {
   if (organisation === undefined) return () => {}
-  const cost = costOf(head, organisation)
+  const cost = quotaCost(head, organisation)
   const decision = context.quotas.take(organisation, cost, context.clock.now())
   switch (decision.kind) {
     case 'granted': return () => context.quotas.giveBack(organisation, cost)
     case 'over':
-      context.log.info('quota-refused', { request: head.id, organisation: organisation.name, cost, rate: organisation.quota.rate, offered: Math.round(decision.offered), retryAfter: Math.round(decision.retryAfter), nodes: context.sources().nodes })
+      context.log.info('quota-refused', { request: head.id, organisation: organisation.name, cost, rate: organisation.quota.rate, offered: Math.round(decision.offered), retryAfter: Math.round(decision.retryAfter), nodes: context.freshness().nodes })
       throw refusal('organisation-limit', `the quota of ${organisation.name} is used up`, decision.retryAfter)
   }
 }
 
 /**
- * A failure before anything was sent.
+ * Creates a failure with the verdict `not-run`, for a request that was not sent to any upstream.
  *
  * @example
  * throw refusal('overloaded', 'all upstreams are busy', 200)
@@ -71,7 +72,7 @@
   return new ServingError(message, { code, verdict: 'not-run', ...(retryAfter === undefined ? {} : { retryAfter }) })
 }
 
-function costOf (head: RequestHead, { quota }: Organisation): number {
+function quotaCost (head: RequestHead, { quota }: Organisation): number {
   if (quota.unit === 'requests') return 1
   return head.tokens === undefined ? quota.plainCost : head.tokens.prompt + head.tokens.generated
 }
--- a/src/gateway/accounting.ts
+++ b/src/gateway/accounting.ts
@@ -1,72 +1,72 @@
-/** What became of requests: a line and metrics for each. */
+/** Accounting of finished requests: one log line and metrics for each. */
 import type { Milliseconds } from '../clock.js'
 import type { ServingError, Verdict } from '../verdict.js'
 import type { AcceptedRequest } from './acceptance.js'
 import type { GatewayContext } from './context.js'
-import type { Passage } from './passage.js'
+import type { ProxiedRequest } from './proxied-request.js'
 import type { RequestHead } from './ports.js'
 import type { DayOutcome } from '../events/index.js'
 
-/** How a request ended: an upstream's answer was passed on, or the system gave one of its own. */
-export type Ending =
+/** How a request ended: with the answer of an upstream, or with a failure reported by the gateway itself. */
+export type RequestEnd =
   | { readonly kind: 'answered', readonly outcome: AnswerOutcome }
   | { readonly kind: 'failed', readonly failure: ServingError }
 
 /** Whether the upstream's answer was a success. */
 export type AnswerOutcome = 'served' | 'upstream-failed'
 
-/** A request from its arrival on. */
-export interface Call {
+/** A request from its arrival to its end. */
+export interface CallerRequest {
   readonly head: RequestHead
   readonly arrival: Milliseconds
-  /** Undefined until its head has passed the checks. */
+  /** Undefined until the head has passed the checks. */
   accepted: AcceptedRequest | undefined
-  /** Undefined until it is read and within its quota. */
-  passage: Passage | undefined
+  /** Undefined until the body has been read and the quota has been charged. */
+  proxied: ProxiedRequest | undefined
 }
 
 /**
- * Accounts for one request.
+ * Records a finished request in the log, the metrics and the sums.
  *
  * @example
- * account(context, call, { kind: 'answered', outcome: 'served' })
+ * recordRequest(context, callerRequest, { kind: 'answered', outcome: 'served' })
  */
-export function account (context: GatewayContext, call: Call, ending: Ending): void {
+export function recordRequest (context: GatewayContext, callerRequest: CallerRequest, end: RequestEnd): void {
   const { metrics, sums, clock } = context
-  const { accepted, passage, arrival } = call
-  const after = clock.now() - arrival
+  const { accepted, proxied, arrival } = callerRequest
+  const elapsed = clock.now() - arrival
   const route = accepted?.route.name ?? 'none'
   const organisation = accepted?.organisation?.name ?? 'none'
-  switch (ending.kind) {
+  switch (end.kind) {
     case 'answered':
-      if (passage !== undefined) tellAnswered(context, passage, after)
-      metrics.count('requests', { route, organisation, outcome: ending.outcome, verdict: 'ran' })
+      if (proxied !== undefined) logAnswered(context, proxied, elapsed)
+      metrics.count('requests', { route, organisation, outcome: end.outcome, verdict: 'ran' })
       break
     case 'failed':
-      tellFailed(context, call, ending.failure, after)
-      metrics.count('requests', { route, organisation, outcome: ending.failure.code, verdict: ending.failure.verdict })
+      logFailed(context, callerRequest, end.failure, elapsed)
+      metrics.count('requests', { route, organisation, outcome: end.failure.code, verdict: end.failure.verdict })
   }
-  sums.add(sumOf(ending, passage))
-  metrics.record('whole_answer', after, { route })
-  if (passage?.firstAnswer !== undefined) metrics.record('rest', after - passage.firstAnswer, { route })
+  sums.add(dayOutcome(end, proxied))
+  metrics.record('whole_answer', elapsed, { route })
+  if (proxied?.timeToFirstAnswer !== undefined) metrics.record('rest', elapsed - proxied.timeToFirstAnswer, { route })
 }
 
-function tellAnswered ({ log }: GatewayContext, passage: Passage, after: Milliseconds): void {
-  const { accepted } = passage
+function logAnswered ({ log }: GatewayContext, proxied: ProxiedRequest, elapsed: Milliseconds): void {
+  const { accepted } = proxied
   log.info('request-served', {
     request: accepted.head.id,
     route: accepted.route.name,
     organisation: accepted.organisation?.name,
-    upstream: passage.upstream ?? '',
-    attempts: passage.attempts,
-    unrun: passage.unrun,
-    events: passage.progress.events,
-    firstAfter: Math.round(passage.firstAnswer ?? after),
-    after: Math.round(after)
+    upstream: proxied.upstream ?? '',
+    attempts: proxied.attempts,
+    unrun: proxied.unrun,
+    events: proxied.progress.events,
+    firstAfter: Math.round(proxied.timeToFirstAnswer ?? elapsed),
+    after: Math.round(elapsed)
   })
 }
 
-function tellFailed ({ log, sources }: GatewayContext, { head, accepted, passage }: Call, failure: ServingError, after: Milliseconds): void {
+function logFailed ({ log, freshness }: GatewayContext, { head, accepted, proxied }: CallerRequest, failure: ServingError, elapsed: Milliseconds): void {
   log.info('request-failed', {
     request: head.id,
     route: accepted?.route.name,
@@ -74,23 +74,23 @@
     code: failure.code,
     verdict: failure.verdict,
     reason: failure.message,
-    attempts: passage?.attempts,
-    unrun: passage?.unrun,
-    after: Math.round(after),
+    attempts: proxied?.attempts,
+    unrun: proxied?.unrun,
+    after: Math.round(elapsed),
     retryAfter: failure.retryAfter === undefined ? undefined : Math.round(failure.retryAfter),
-    ...sources()
+    ...freshness()
   })
 }
 
-function sumOf (ending: Ending, passage: Passage | undefined): DayOutcome {
-  switch (ending.kind) {
+function dayOutcome (end: RequestEnd, proxied: ProxiedRequest | undefined): DayOutcome {
+  switch (end.kind) {
     case 'answered':
-      if (ending.outcome === 'upstream-failed') return 'lost'
-      return (passage?.firstAnswer ?? 0) > (passage?.accepted.route.target ?? Infinity) ? 'late' : 'served'
-    case 'failed': return ending.failure.code === 'cancelled' ? 'left' : sumOfVerdict(ending.failure.verdict)
+      if (end.outcome === 'upstream-failed') return 'lost'
+      return (proxied?.timeToFirstAnswer ?? 0) > (proxied?.accepted.route.target ?? Infinity) ? 'late' : 'served'
+    case 'failed': return end.failure.code === 'cancelled' ? 'left' : dayOutcomeOfVerdict(end.failure.verdict)
   }
 }
 
-function sumOfVerdict (verdict: Verdict): DayOutcome {
+function dayOutcomeOfVerdict (verdict: Verdict): DayOutcome {
   return verdict === 'not-run' ? 'refused' : 'lost'
 }
--- a/src/gateway/answering.ts
+++ b/src/gateway/answering.ts
@@ -1,19 +1,22 @@
-/** Final answers to callers. */
+/** Failure answers to callers. */
 import type { ServerResponse } from 'node:http'
 import type { Milliseconds } from '../clock.js'
 import { ServingError, statusOf } from '../verdict.js'
 import type { FailureCode } from '../verdict.js'
 import type { RequestFormat } from './ports.js'
 
-/** Codes after which the connection is closed: its unread rest could be taken for the next request. */
-const CLOSING: ReadonlySet<FailureCode> = new Set(['too-large', 'stopping'])
+/**
+ * Codes after which the connection is closed. Otherwise the unread rest of the body could be parsed as the next
+ * request.
+ */
+const CLOSING_CODES: ReadonlySet<FailureCode> = new Set(['too-large', 'stopping'])
 
-/** Status of a request that was given up on at its limit and was never sent: it promises that it hasn't run. */
-const NEVER_SENT_STATUS = 503
+/** Status of a request that reached its time limit without having been sent. It promises that the request was not run. */
+const NEVER_DISPATCHED_STATUS = 503
 
 /**
- * Answers with a failure. Once an answer has begun there is no status to set any more; the connection is
- * destroyed instead, so that the fragment can't pass as whole.
+ * Answers with a failure. If the headers have already been sent, the status can no longer be changed. The connection is
+ * then destroyed, so that the caller does not take a truncated answer for a complete one.
  *
  * @param id of the request, if it has one
  * @example
@@ -26,20 +29,23 @@
   }
   const body = Buffer.from(JSON.stringify({ error: { message: failure.message, type: failure.code, verdict: failure.verdict } }))
   const headers = [...format.ownHeaders(id), 'content-type', 'application/json', 'content-length', String(body.length)]
-  if (failure.retryAfter !== undefined) headers.push('retry-after', seconds(failure.retryAfter))
-  if (CLOSING.has(failure.code) || !response.req.complete) headers.push('connection', 'close')
+  if (failure.retryAfter !== undefined) headers.push('retry-after', retryAfterSeconds(failure.retryAfter))
+  if (CLOSING_CODES.has(failure.code) || !response.req.complete) headers.push('connection', 'close')
   response.writeHead(statusFor(failure), headers)
   response.end(body)
 }
 
-/** A status of 429 or 503 promises that the request hasn't run; one that may have run gets neither. */
+/**
+ * The statuses 408, 421, 429 and 503 promise that the request was not run. A request that may have run gets 502
+ * instead.
+ */
 function statusFor (failure: ServingError): number {
   const status = statusOf(failure.code)
-  if (failure.verdict === 'not-run') return failure.code === 'timeout' ? NEVER_SENT_STATUS : status
+  if (failure.verdict === 'not-run') return failure.code === 'timeout' ? NEVER_DISPATCHED_STATUS : status
   return status === 503 || status === 429 || status === 421 || status === 408 ? statusOf('upstream-failed') : status
 }
 
-/** Retry-After in seconds; callers on this path take fractions. */
-function seconds (time: Milliseconds): string {
+/** Formats a `Retry-After` value. Fractions of a second are allowed here. */
+function retryAfterSeconds (time: Milliseconds): string {
   return (Math.max(1, time) / 1_000).toFixed(3)
 }
--- a/src/gateway/attempt-records.ts
+++ b/src/gateway/attempt-records.ts
@@ -3,7 +3,7 @@
 import type { Choice, UpstreamRecord } from '../placement/index.js'
 import type { GatewayContext } from './context.js'
 import type { NotRunReason } from './exchange.js'
-import type { Passage } from './passage.js'
+import type { ProxiedRequest } from './proxied-request.js'
 
 /**
  * Records that a request is dispatched to the chosen upstream.
@@ -11,7 +11,7 @@
  * @example
  * recordDispatch(context, passage, choice)
  */
-export function recordDispatch (context: GatewayContext, passage: Passage, { upstream, reading, waiting, candidates }: Choice): void {
+export function recordDispatch (context: GatewayContext, passage: ProxiedRequest, { upstream, reading, waiting, candidates }: Choice): void {
   const now = context.clock.now()
   context.metrics.record('waiting', now - passage.arrival, { route: passage.accepted.route.name })
   context.log.info('request-sent', {
@@ -22,7 +22,7 @@
     waiting: Math.round(waiting),
     candidates,
     tries: context.rollouts.roleOf(upstream) === 'tried' ? upstream.version : undefined,
-    ...context.sources()
+    ...context.freshness()
   })
 }
 
@@ -32,7 +32,7 @@
  * @example
  * recordNotRun(context, passage, upstream, 'full')
  */
-export function recordNotRun (context: GatewayContext, passage: Passage, upstream: UpstreamRecord, reason: NotRunReason): void {
+export function recordNotRun (context: GatewayContext, passage: ProxiedRequest, upstream: UpstreamRecord, reason: NotRunReason): void {
   const { clock, upstreams, metrics, log } = context
   metrics.count('sends_not_run', { reason })
   log.info('send-not-run', { request: passage.accepted.head.id, upstream: upstream.id, reason })
@@ -57,7 +57,7 @@
  * @example
  * recordBrokenAttempt(context, passage, upstream, 'other side closed')
  */
-export function recordBrokenAttempt (context: GatewayContext, passage: Passage, upstream: UpstreamRecord, reason: string): void {
+export function recordBrokenAttempt (context: GatewayContext, passage: ProxiedRequest, upstream: UpstreamRecord, reason: string): void {
   const now = context.clock.now()
   pauseUpstream(context, upstream, reason)
   context.quarantine.broken(passage.fingerprint, now)
@@ -77,7 +77,7 @@
  * @example
  * recordCompleteAnswer(context, passage, upstream)
  */
-export function recordCompleteAnswer (context: GatewayContext, passage: Passage, upstream: UpstreamRecord): void {
+export function recordCompleteAnswer (context: GatewayContext, passage: ProxiedRequest, upstream: UpstreamRecord): void {
   context.upstreams.health.answered(upstream.life)
   context.quarantine.answered(passage.fingerprint, context.clock.now())
 }
@@ -89,14 +89,14 @@
  * @example
  * recordAnswerStart(context, passage, upstream)
  */
-export function recordAnswerStart (context: GatewayContext, passage: Passage, upstream: UpstreamRecord): void {
+export function recordAnswerStart (context: GatewayContext, passage: ProxiedRequest, upstream: UpstreamRecord): void {
   const { organisation } = passage.accepted
-  if (!passage.counted && organisation !== undefined) {
-    passage.counted = true
+  if (!passage.usageCounted && organisation !== undefined) {
+    passage.usageCounted = true
     context.usage.recordStart(organisation.name, context.sharedWall())
   }
   const waited = context.clock.now() - passage.arrival
-  passage.firstAnswer ??= waited
+  passage.timeToFirstAnswer ??= waited
   context.metrics.record('first_answer', waited, { route: passage.accepted.route.name })
   if (waited > passage.accepted.route.target) logLateAnswer(context, passage, upstream, waited)
 }
@@ -108,7 +108,7 @@
   upstreams.health.failed(upstream.life, now)
 }
 
-function logLateAnswer (context: GatewayContext, passage: Passage, upstream: UpstreamRecord, waited: Milliseconds): void {
+function logLateAnswer (context: GatewayContext, passage: ProxiedRequest, upstream: UpstreamRecord, waited: Milliseconds): void {
   const { accepted } = passage
   const candidates = context.upstreams.candidates(passage.service, new Set(), context.clock.now())
   context.log.info('answer-late', {
--- /dev/null
+++ b/src/gateway/attempt.ts
@@ -0,0 +1,247 @@
+/** One attempt of a request at one upstream, including the relay of its answer. */
+import type { Milliseconds } from '../clock.js'
+import { readingTime } from '../placement/index.js'
+import type { Choice, ReadingSample, UpstreamRecord } from '../placement/index.js'
+import { ServingError } from '../verdict.js'
+import type { Verdict } from '../verdict.js'
+import type { AnswerOutcome } from './accounting.js'
+import type { GatewayContext } from './context.js'
+import type { Continuation, RunLocation, WatchedRun } from './evacuation.js'
+import type { ExchangeStart, UpstreamAnswer } from './exchange.js'
+import { recordAnswerStart, recordBrokenAttempt, recordDispatch, recordNotRun, recordCompleteAnswer } from './attempt-records.js'
+import { abortFailure, mayRetry, undispatchedFailure } from './proxied-request.js'
+import type { ProxiedRequest } from './proxied-request.js'
+import { eventTimeout, firstAnswerTimeout, startWatchdog } from './response-watchdog.js'
+import type { Watchdog } from './response-watchdog.js'
+import { relayEvents } from './stream-relay.js'
+import type { VersionObservation } from './rollouts.js'
+import type { AbortReason } from './time-limit.js'
+import type { InFlightRequest } from './upstream-view.js'
+
+/** Result of an attempt. */
+export type AttemptResult =
+  | { readonly kind: 'done', readonly outcome: AnswerOutcome }
+  /** The attempt was not answered. `verdict` states whether it may have run. */
+  | { readonly kind: 'again', readonly verdict: Verdict, readonly failure: ServingError }
+  /** The attempt timed out or the upstream answered with a server error. A further attempt has already been granted. */
+  | { readonly kind: 'granted' }
+  /** The upstream is leaving, and the run continues at another one. */
+  | { readonly kind: 'moved', readonly continuation: Continuation }
+
+/** State of one attempt. */
+interface Attempt {
+  readonly upstream: UpstreamRecord
+  readonly open: InFlightRequest
+  /** Aborts with the request, or when the upstream timed out and a further attempt was granted. */
+  readonly signal: AbortSignal
+  readonly watchdog: Watchdog
+  readonly isTimedOut: () => boolean
+  /** Sample of the engine's prefill speed, completed by the first event; undefined if that time includes other delays. */
+  readonly prefillSample: Omit<ReadingSample, 'took'> | undefined
+  readonly since: Milliseconds
+  /** Evidence about the upstream's version; undefined if no versions are being compared. */
+  readonly comparison: VersionObservation | undefined
+  /** Predicted time to the answer. */
+  readonly expected: Milliseconds
+  /** Undefined if the run survives the loss of its upstream, or cannot be moved. */
+  readonly watchedRun: WatchedRun | undefined
+}
+
+/**
+ * Prefill time from which other nodes are notified of a prompt at once. A prompt of this length noticeably delays their
+ * requests to the same upstream where nodes are few.
+ */
+const LONG_PREFILL: Milliseconds = 150
+
+/**
+ * Fraction of the target below which answer times count as equal when versions are compared. It prevents a false alarm
+ * when a very fast answer takes several times its predicted time, for example 3 ms instead of 1 ms on a busy machine.
+ */
+const COMPARISON_FLOOR_FRACTION = 1 / 16
+
+/** Urgency that an upstream assumes if none is given. Lower urgencies are not distinguished. */
+const DEFAULT_URGENCY = 5
+
+const SUCCESS = 200
+const REDIRECTION = 300
+const SERVER_ERROR = 500
+
+/**
+ * Makes one attempt of a request at an upstream and relays the answer.
+ *
+ * @param memory reference to the copy of the run's memory from which a moved run continues
+ * @throws ServingError when the request's time limit is reached or its caller has disconnected
+ * @example
+ * const result = await dispatchAttempt(context, proxied, choice)
+ */
+export async function dispatchAttempt (context: GatewayContext, proxied: ProxiedRequest, choice: Choice, memory?: string): Promise<AttemptResult> {
+  const attempt = beginAttempt(context, proxied, choice, memory)
+  recordDispatch(context, proxied, choice)
+  proxied.attempts += 1
+  proxied.deliveredAttempts += 1
+  try {
+    const started = await context.connections.start(attempt.upstream, buildUpstreamRequest(context, proxied, attempt.upstream, memory), attempt.signal)
+    return await handleExchangeStart(context, proxied, attempt, started)
+  } finally {
+    attempt.watchdog.stop()
+    attempt.open.end()
+    attempt.watchedRun?.end()
+  }
+}
+
+function beginAttempt (context: GatewayContext, proxied: ProxiedRequest, choice: Choice, memory: string | undefined): Attempt {
+  const { upstream, reading, waiting } = choice
+  const controller = new AbortController()
+  const comparison = memory === undefined ? context.rollouts.begin(proxied.accepted.route.name, upstream) : undefined
+  const open = context.upstreams.begin(upstream.life, reading, context.clock.now())
+  if (reading >= LONG_PREFILL) context.announcePrefill(upstream.life, reading)
+  const watchdog = startWatchdog(context.clock, firstAnswerTimeout(proxied.accepted.route, waiting + reading, context.speeds.of(proxied.service).base), () => {
+    if (mayRetry(context, proxied, 'may-have-run')) controller.abort()
+  })
+  return {
+    upstream,
+    open,
+    signal: AbortSignal.any([proxied.signal, controller.signal]),
+    watchdog,
+    isTimedOut: () => controller.signal.aborted,
+    prefillSample: memory === undefined ? prefillSampleOf(proxied, choice) : undefined,
+    since: context.clock.now(),
+    comparison,
+    expected: comparison === undefined ? 0 : expectedTime(context, proxied, choice, comparison),
+    watchedRun: watchRun(context, proxied, upstream)
+  }
+}
+
+/**
+ * Returns undefined for a prompt that waits behind others and for a resumed stream, since neither shows the prefill
+ * speed.
+ */
+function prefillSampleOf ({ accepted, progress }: ProxiedRequest, { cached, waiting }: Choice): Attempt['prefillSample'] {
+  const { tokens } = accepted.head
+  if (tokens === undefined || waiting > 0 || progress.lastId !== undefined) return undefined
+  return { tokens: tokens.prompt - cached, cached }
+}
+
+/**
+ * Predicts the time to the answer. A newly started engine of the version being tried has no cached prompts, so its
+ * whole prompt counts; a missing cache must not be held against the version.
+ */
+function expectedTime ({ speeds }: GatewayContext, { service, accepted }: ProxiedRequest, { reading, waiting }: Choice, { side }: VersionObservation): Milliseconds {
+  const { tokens } = accepted.head
+  if (tokens === undefined) return 0
+  const speed = speeds.of(service)
+  return speed.base + waiting + (side === 'tried' ? readingTime(tokens.prompt, 0, speed) : reading)
+}
+
+/** Reports the time to the complete answer, or to the first event of a stream, to the comparison of versions. */
+function recordAnswerTime ({ accepted }: ProxiedRequest, { comparison, expected }: Attempt, took: Milliseconds): void {
+  const floor = accepted.route.target * COMPARISON_FLOOR_FRACTION
+  comparison?.answered(Math.max(took, floor), Math.max(expected, floor))
+}
+
+/** Records the first event of a stream, which shows that the prefill is complete. */
+function recordPrefillEnd ({ clock, speeds }: GatewayContext, proxied: ProxiedRequest, attempt: Attempt): void {
+  const { open, prefillSample: sample, since } = attempt
+  const took = clock.now() - since
+  open.prefillFinished()
+  if (sample !== undefined) speeds.observe(proxied.service, { ...sample, took })
+  recordAnswerTime(proxied, attempt, took)
+}
+
+function watchRun (context: GatewayContext, proxied: ProxiedRequest, upstream: UpstreamRecord): WatchedRun | undefined {
+  const { route, head } = proxied.accepted
+  const isLostWithUpstream = route.kind === 'stream' && !route.resumable
+  const canMove = context.routeTable()?.service(proxied.service)?.movesRuns === true
+  return isLostWithUpstream && canMove ? context.evacuation.watch(upstream, head.id, proxied.signal) : undefined
+}
+
+function buildUpstreamRequest (context: GatewayContext, proxied: ProxiedRequest, upstream: UpstreamRecord, memory: string | undefined): Parameters<GatewayContext['connections']['start']>[1] {
+  const { accepted, request, limit } = proxied
+  return {
+    id: accepted.head.id,
+    method: request.method ?? 'GET',
+    path: request.url ?? '/',
+    headers: context.format.upstreamHeaders(request.rawHeaders, {
+      deadline: limit.left(context.clock.now()),
+      upstream: upstream.id,
+      organisation: accepted.organisation?.name,
+      urgency: Math.min(accepted.priority, DEFAULT_URGENCY),
+      lastEvent: proxied.progress.lastId,
+      memory
+    }),
+    body: proxied.body
+  }
+}
+
+async function handleExchangeStart (context: GatewayContext, proxied: ProxiedRequest, attempt: Attempt, started: ExchangeStart): Promise<AttemptResult> {
+  switch (started.kind) {
+    case 'answered': {
+      const isStream = proxied.accepted.route.kind === 'stream' && started.answer.status === SUCCESS
+      return isStream ? relayStream(context, proxied, attempt, started.answer) : relayBufferedAnswer(context, proxied, attempt, started.answer)
+    }
+    case 'not-run':
+      proxied.attempts -= 1
+      proxied.unrun += 1
+      if (started.reason === 'unreachable') proxied.deliveredAttempts -= 1
+      recordNotRun(context, proxied, attempt.upstream, started.reason)
+      if (proxied.signal.aborted) throw abortFailure(proxied)
+      return { kind: 'again', verdict: 'not-run', failure: undispatchedFailure(proxied, 'overloaded', `upstream ${attempt.upstream.id}: ${started.reason}`) }
+    case 'broken':
+      return handleBrokenAttempt(context, proxied, attempt, started.reason)
+  }
+}
+
+function handleBrokenAttempt (context: GatewayContext, proxied: ProxiedRequest, attempt: Attempt, reason: string): AttemptResult {
+  // A caller that disconnects says nothing about the upstream. An answer that did not arrive in time does.
+  if (!proxied.signal.aborted || proxied.signal.reason === ('time-limit' satisfies AbortReason)) attempt.comparison?.interrupted()
+  if (proxied.signal.aborted) throw abortFailure(proxied)
+  recordBrokenAttempt(context, proxied, attempt.upstream, attempt.isTimedOut() ? 'silent' : reason)
+  if (attempt.isTimedOut()) return { kind: 'granted' }
+  return { kind: 'again', verdict: 'may-have-run', failure: new ServingError(reason, { code: 'connection-lost', verdict: 'may-have-run' }) }
+}
+
+async function relayStream (context: GatewayContext, proxied: ProxiedRequest, attempt: Attempt, answer: UpstreamAnswer): Promise<AttemptResult> {
+  const { response, progress } = proxied
+  let events = 0
+  const end = await relayEvents(answer, response, progress, (count) => {
+    attempt.watchdog.heard(eventTimeout(proxied.accepted.route))
+    if (events === 0) recordPrefillEnd(context, proxied, attempt)
+    if (!response.headersSent) {
+      recordAnswerStart(context, proxied, attempt.upstream)
+      response.writeHead(answer.status, context.format.answerHeaders(answer.headers))
+    }
+    events += count
+  }, attempt.signal)
+  const location: RunLocation = await attempt.watchedRun?.location() ?? { kind: 'same' }
+  if (proxied.signal.aborted) throw abortFailure(proxied)
+  // A moved run continues elsewhere, regardless of how its stream was closed here.
+  if (location.kind === 'moved') return { kind: 'moved', continuation: location.continuation }
+  if (end.kind === 'broken') return handleBrokenAttempt(context, proxied, attempt, end.reason)
+  if (location.kind === 'unknown') return handleBrokenAttempt(context, proxied, attempt, 'it may have been moved')
+  if (progress.events === 0) return handleBrokenAttempt(context, proxied, attempt, 'the stream had no event')
+  recordCompleteAnswer(context, proxied, attempt.upstream)
+  response.end()
+  return { kind: 'done', outcome: 'served' }
+}
+
+/** Reads the whole answer before relaying it, so that a truncated answer can be retried or reported as a failure. */
+async function relayBufferedAnswer (context: GatewayContext, proxied: ProxiedRequest, attempt: Attempt, answer: UpstreamAnswer): Promise<AttemptResult> {
+  const { response } = proxied
+  let body: Buffer
+  try {
+    body = Buffer.from(await answer.body.arrayBuffer())
+  } catch (error) {
+    return handleBrokenAttempt(context, proxied, attempt, `the answer broke off: ${String(error)}`)
+  }
+  attempt.watchdog.stop()
+  if (answer.status >= SERVER_ERROR) attempt.comparison?.failed()
+  else recordAnswerTime(proxied, attempt, context.clock.now() - attempt.since)
+  recordAnswerStart(context, proxied, attempt.upstream)
+  recordCompleteAnswer(context, proxied, attempt.upstream)
+  if (answer.status >= SERVER_ERROR && mayRetry(context, proxied, 'ran')) {
+    return { kind: 'granted' }
+  }
+  response.writeHead(answer.status, [...context.format.answerHeaders(answer.headers), 'content-length', String(body.length)])
+  response.end(body)
+  return { kind: 'done', outcome: answer.status < REDIRECTION ? 'served' : 'upstream-failed' }
+}
--- a/src/gateway/backpressure.ts
+++ b/src/gateway/backpressure.ts
@@ -1,4 +1,4 @@
-/** A node's side of upstreams that ask for less work, or for none, in what they answer. */
+/** Backpressure of upstreams: rate limits, pauses and departures that upstreams announce in their answers. */
 import { createDepartures, createRateLimits, createRequestedPauses } from '../backpressure/index.js'
 import type { RateLimitChange, ReportedDepartures, ReportedLimits, UpstreamSignals } from '../backpressure/index.js'
 import type { Clock, Milliseconds } from '../clock.js'
@@ -6,44 +6,46 @@
 import type { UpstreamLife, UpstreamRecord } from '../placement/index.js'
 import type { UpstreamAvailability, UpstreamView } from './upstream-view.js'
 
-/** What nodes tell each other of what upstreams asked. */
-export interface ToldBackpressure {
+/** Backpressure of upstreams as one node reports it to the others. */
+export interface BackpressureReport {
   readonly limits: ReportedLimits
   readonly departures: ReportedDepartures
 }
 
-/** What upstreams have asked of the nodes, and what this one may still send. */
+/** Backpressure known to this node, and what the node may still send. */
 export interface Backpressure extends UpstreamAvailability {
-  /** An upstream's answer has come with these signals. */
+  /** Processes the signals in an upstream's answer to a request sent at `sentAt`. */
   heard (upstream: UpstreamRecord, signals: UpstreamSignals, sentAt: Milliseconds): void
-  /** A request of this node goes there. */
+  /** Records that a request of this node is sent to the upstream. */
   taken (life: UpstreamLife, now: Milliseconds): void
-  /** Time until it wants a request of this node; 0 where it does now. */
+  /** Returns the time until the upstream accepts a request of this node; 0 if it does now. */
   wait (life: UpstreamLife, now: Milliseconds): Milliseconds
-  /** What this node tells the others. */
-  told (): ToldBackpressure
-  /** What the others tell. */
-  observe (others: readonly ToldBackpressure[]): void
-  /** Names of the nodes that may serve. */
-  deal (nodes: readonly string[]): void
-  /** Upstreams that name a limit now. */
-  limited (): number
+  /** Returns the report for the other nodes. */
+  told (): BackpressureReport
+  /** Processes the reports of the other nodes. */
+  observe (others: readonly BackpressureReport[]): void
+  /** Sets the names of the nodes that may serve, which share each rate limit. */
+  setNodes (nodes: readonly string[]): void
+  /** Returns the number of upstreams with a rate limit. */
+  limitedUpstreams (): number
 }
 
-/** What it needs. */
+/** Options of {@link createBackpressure}. */
 export interface BackpressureOptions {
   /** Name of this node. */
   readonly node: string
   readonly clock: Clock
   readonly log: EventLog
-  /** The upstreams that are known; asked for once the node is put together. */
+  /** The known upstreams. A function, because the view is created after the backpressure. */
   readonly upstreams: () => Pick<UpstreamView, 'find' | 'noteLeaving'>
 }
 
-/** How a node came to know. */
-type Source = 'answer' | 'peer'
+/** How a node learnt of a signal. */
+type SignalSource = 'answer' | 'peer'
 
 /**
+ * Creates the backpressure of one node.
+ *
  * @example
  * const backpressure = createBackpressure({ node: settings.name, clock, log, upstreams: () => upstreams })
  * backpressure.accepts(upstream.life, clock.now())
@@ -53,7 +55,7 @@
   const departures = createDepartures()
   const pauses = createRequestedPauses()
 
-  function tellLimits (changes: readonly RateLimitChange[], source: Source | 'shares'): void {
+  function logLimits (changes: readonly RateLimitChange[], source: SignalSource | 'shares'): void {
     for (const { incarnation: life, limit: pace } of changes) {
       const record = upstreams().find(life)
       if (record === undefined) continue
@@ -61,13 +63,13 @@
     }
   }
 
-  function depart (life: UpstreamLife, source: Source): void {
+  function markLeaving (life: UpstreamLife, source: SignalSource): void {
     const record = upstreams().find(life)
     if (record === undefined || !upstreams().noteLeaving(life)) return
     log.info('upstream-says-leaving', { upstream: record.id, service: record.service, source })
   }
 
-  function pause (upstream: UpstreamRecord, retryAfter: Milliseconds, now: Milliseconds): void {
+  function recordPause (upstream: UpstreamRecord, retryAfter: Milliseconds, now: Milliseconds): void {
     pauses.heard(upstream.life, retryAfter, now)
     log.info('upstream-asks-pause', { upstream: upstream.id, service: upstream.service, retryAfter: Math.round(retryAfter) })
   }
@@ -76,9 +78,9 @@
     heard: (upstream, signals, sentAt) => {
       const now = clock.now()
       const change = limits.heard(upstream.life, signals.rateLimit, sentAt, now)
-      if (change !== undefined) tellLimits([change], 'answer')
-      if (signals.leaving && departures.heard(upstream.life, now)) depart(upstream.life, 'answer')
-      if (signals.retryAfter !== undefined) pause(upstream, signals.retryAfter, now)
+      if (change !== undefined) logLimits([change], 'answer')
+      if (signals.leaving && departures.heard(upstream.life, now)) markLeaving(upstream.life, 'answer')
+      if (signals.retryAfter !== undefined) recordPause(upstream, signals.retryAfter, now)
     },
     isLeaving: departures.isLeaving,
     accepts: (life, now) => limits.allows(life, now) && pauses.wait(life, now) === 0,
@@ -86,10 +88,10 @@
     wait: (life, now) => Math.max(limits.wait(life, now), pauses.wait(life, now)),
     told: () => ({ limits: limits.told(clock.now()), departures: departures.told(clock.now()) }),
     observe: (others) => {
-      tellLimits(limits.observe(others.map((told) => told.limits), clock.now()), 'peer')
-      for (const life of departures.observe(others.map((told) => told.departures))) depart(life, 'peer')
+      logLimits(limits.observe(others.map((report) => report.limits), clock.now()), 'peer')
+      for (const life of departures.observe(others.map((report) => report.departures))) markLeaving(life, 'peer')
     },
-    deal: (nodes) => tellLimits(limits.setNodes(nodes, clock.now()), 'shares'),
-    limited: () => limits.all().length
+    setNodes: (nodes) => logLimits(limits.setNodes(nodes, clock.now()), 'shares'),
+    limitedUpstreams: () => limits.all().length
   }
 }
--- a/src/gateway/context.ts
+++ b/src/gateway/context.ts
@@ -1,4 +1,4 @@
-/** What the parts of a gateway node share. */
+/** State and services shared by the modules of a gateway node. */
 import type { Clock, Milliseconds } from '../clock.js'
 import type { EventLog } from '../events/index.js'
 import type { EngineSpeeds, UpstreamLife } from '../placement/index.js'
@@ -20,21 +20,21 @@
 
 /** Times of a planned stop. */
 export interface StopTimes {
-  /** Time of the request to stop. */
+  /** Time at which the stop was requested. */
   readonly since: Milliseconds
-  /** Time at which what still runs is cut off. */
+  /** Time at which requests in progress are cut off. */
   readonly cutOff: Milliseconds
 }
 
-/** How old what this node goes by is. */
-export interface Sources {
+/** Version and age of the state on which this node's decisions are based. */
+export interface StateFreshness {
   /** Version in force. */
   readonly configuration: number | undefined
-  /** Since the store was last heard of for the configuration. */
+  /** Time since the configuration was last confirmed by the store. */
   readonly configurationAge: Milliseconds | undefined
-  /** The same for upstreams. */
+  /** Time since the list of upstreams was last confirmed by the store. */
   readonly upstreamsAge: Milliseconds | undefined
-  /** Nodes that may serve, as far as known. */
+  /** Number of known nodes that may serve. */
   readonly nodes: number
 }
 
@@ -57,16 +57,16 @@
   readonly usage: UsageWindows
   readonly sums: RequestSums
   readonly work: WorkMeter
-  /** Bound on further attempts of a service. */
+  /** Returns the budget that limits further attempts at a service. */
   readonly retryBudget: (service: string) => RetryBudget
-  /** Tells other nodes of a long prompt that was just sent to an upstream. */
-  readonly tellReading: (upstream: UpstreamLife, reading: Milliseconds) => void
-  /** The configuration in force; undefined until the first one is known. */
-  readonly table: () => RouteTable | undefined
-  /** Wall time that the nodes agree on, which a step of this machine's clock doesn't move. */
+  /** Notifies other nodes of a long prompt that was just sent to an upstream. */
+  readonly announcePrefill: (upstream: UpstreamLife, prefill: Milliseconds) => void
+  /** Routes of the configuration in force; undefined until a configuration is known. */
+  readonly routeTable: () => RouteTable | undefined
+  /** Wall-clock time agreed between the nodes, unaffected by steps of this instance's clock. */
   readonly sharedWall: () => Milliseconds
-  /** What decisions go by, for the lines that tell of them. */
-  readonly sources: () => Sources
-  /** Undefined while the node serves. */
+  /** Freshness of the state behind decisions, for log lines. */
+  readonly freshness: () => StateFreshness
+  /** Undefined unless the node is stopping. */
   readonly stop: () => StopTimes | undefined
 }
--- a/src/gateway/evacuation.ts
+++ b/src/gateway/evacuation.ts
@@ -1,80 +1,83 @@
 /**
- * Moves runs away from an upstream that is about to be taken back.
+ * Moves runs away from an upstream that is about to be reclaimed.
  *
- * Failure guarded against: a plan runs for longer than the notice of a reclaim and may neither run again nor be
- * resumed from its events alone; its caller would get a fragment. The engine hands the run's memory to another
- * engine shortly before it is gone, and the same run goes on there within the same answer. Those that end in
- * time by themselves aren't moved, since each move is paid for.
+ * Failure guarded against: a plan outlasts the notice of a reclaim, may not run again and cannot be resumed from its
+ * events alone, so its caller would receive a truncated answer. Shortly before the engine is reclaimed, it copies the
+ * run's memory to another engine, where the run continues within the same answer. Runs that finish in time by
+ * themselves are not moved, since each move has a cost.
  */
 import type { Clock, Milliseconds } from '../clock.js'
 import type { EventLog } from '../events/index.js'
 import type { UpstreamLife, UpstreamRecord } from '../placement/index.js'
 import type { EngineCalls, MoveOutcome } from './ports.js'
 
-/** Where a run goes on. */
+/** Upstream at which a run continues. */
 export interface Continuation {
   readonly upstream: UpstreamRecord
-  /** Names the copy of its memory. */
+  /** Reference to the copy of the run's memory. */
   readonly reference: string
 }
 
-/** What became of a run's place. */
-export type RunPlace =
+/** Location of a run after its stream has ended. */
+export type RunLocation =
   | { readonly kind: 'same' }
   | { readonly kind: 'moved', readonly continuation: Continuation }
-  /** It was to be moved, and there was no answer. */
+  /** A move was ordered, but the order was not answered. */
   | { readonly kind: 'unknown' }
 
-/** One run that would be lost with its upstream. */
+/** A run that would be lost with its upstream. */
 export interface WatchedRun {
-  /** To be asked once the upstream's stream has ended; waits for a move that is under way. */
-  place (): Promise<RunPlace>
-  /** The run is over. */
+  /** Returns the location of the run. To be called when the upstream's stream has ended. Waits for a move in progress. */
+  location (): Promise<RunLocation>
+  /** Stops watching the run, which is over. */
   end (): void
 }
 
 /** Runs at upstreams that may leave. */
 export interface Evacuation {
-  /** A run begins at an upstream. */
+  /** Registers a run that begins at an upstream. */
   watch (upstream: UpstreamRecord, request: string, signal: AbortSignal): WatchedRun
-  /** An upstream has given notice. */
+  /** Schedules the moves of the runs of an upstream that has given notice. */
   leaving (upstream: UpstreamRecord): void
 }
 
-/** What an evacuation needs. */
+/** Options of {@link createEvacuation}. */
 export interface EvacuationOptions {
   readonly clock: Clock
   readonly log: EventLog
   readonly calls: EngineCalls
-  /** Chooses where a run goes on; undefined when no upstream may take it. */
+  /** Chooses the upstream at which a run continues; undefined if none is available. */
   readonly chooseTarget: (source: UpstreamRecord, excluded: ReadonlySet<UpstreamLife>) => UpstreamRecord | undefined
-  /** Takes one further arrival from the service's budget. */
+  /** Takes one attempt from the service's retry budget; false if the budget is used up. */
   readonly mayMove: (service: string) => boolean
-  /** Ends what is scheduled. */
+  /** Cancels scheduled moves. */
   readonly signal: AbortSignal
 }
 
 interface Run {
   readonly request: string
   readonly signal: AbortSignal
-  move: Promise<RunPlace> | undefined
+  move: Promise<RunLocation> | undefined
 }
 
 /**
- * Time before the upstream is gone at which what still runs there is moved. The notice is read up to 0.8 s after
- * it was written, and copies of several runs wait for each other; earlier, more of them would end by themselves.
+ * Time before the upstream's end at which its remaining runs are moved. A notice is read up to 0.8 s after it was
+ * written, and the copies of several runs wait for each other, so the moves need this lead time. An earlier start would
+ * also move runs that would still have finished by themselves.
  */
-const BEFORE: Milliseconds = 900
+const MOVE_LEAD_TIME: Milliseconds = 900
 
-/** Shortest notice of a reclaim, where none is told. */
-const NOTICE: Milliseconds = 2_000
+/** Minimum notice of a reclaim, used if the notice does not state its time. */
+const DEFAULT_RECLAIM_NOTICE: Milliseconds = 2_000
 
-/** Targets that are tried; the memory stays at the source until one has taken it. */
-const MOST_TARGETS = 2
+/** Maximum number of targets that are tried. The memory stays at the source until a target has accepted it. */
+const MAX_TARGETS = 2
 
-const SAME: RunPlace = { kind: 'same' }
+const NOT_MOVED: RunLocation = { kind: 'same' }
 
 /**
+ * Creates the evacuation of one node.
+ *
  * @example
  * const evacuation = createEvacuation({ clock, log, calls, chooseTarget, mayMove, signal })
  * const run = evacuation.watch(upstream, id, signal)
@@ -83,11 +86,11 @@
   const { clock, log, calls, signal } = options
   const runs = new Map<UpstreamLife, Set<Run>>()
 
-  async function move (source: UpstreamRecord, run: Run): Promise<RunPlace> {
+  async function move (source: UpstreamRecord, run: Run): Promise<RunLocation> {
     const tried = new Set([source.life])
-    while (tried.size <= MOST_TARGETS) {
+    while (tried.size <= MAX_TARGETS) {
       const target = options.chooseTarget(source, tried)
-      if (target === undefined || !options.mayMove(source.service)) return SAME
+      if (target === undefined || !options.mayMove(source.service)) return NOT_MOVED
       tried.add(target.life)
       const start = clock.now()
       let outcome: MoveOutcome
@@ -100,34 +103,34 @@
       log.info('run-moved', { request: run.request, upstream: source.id, target: target.id, outcome: outcome.kind === 'refused' ? outcome.reason : outcome.kind, took: Math.round(clock.now() - start) })
       switch (outcome.kind) {
         case 'moved': return { kind: 'moved', continuation: { upstream: target, reference: outcome.reference } }
-        case 'no-run': return SAME
+        case 'no-run': return NOT_MOVED
         case 'refused':
       }
     }
-    return SAME
+    return NOT_MOVED
   }
 
   async function evacuate (source: UpstreamRecord, leavesIn: Milliseconds): Promise<void> {
-    await clock.sleep(Math.max(0, leavesIn - BEFORE), signal)
+    await clock.sleep(Math.max(0, leavesIn - MOVE_LEAD_TIME), signal)
     for (const run of runs.get(source.life) ?? []) run.move ??= move(source, run)
   }
 
   return {
     watch: (upstream, request, signal) => {
-      const present = runs.get(upstream.life) ?? new Set()
+      const upstreamRuns = runs.get(upstream.life) ?? new Set()
       const run: Run = { request, signal, move: undefined }
-      present.add(run)
-      runs.set(upstream.life, present)
+      upstreamRuns.add(run)
+      runs.set(upstream.life, upstreamRuns)
       return {
-        place: async () => run.move === undefined ? SAME : await run.move,
+        location: async () => run.move === undefined ? NOT_MOVED : await run.move,
         end: () => {
-          present.delete(run)
-          if (present.size === 0 && runs.get(upstream.life) === present) runs.delete(upstream.life)
+          upstreamRuns.delete(run)
+          if (upstreamRuns.size === 0 && runs.get(upstream.life) === upstreamRuns) runs.delete(upstream.life)
         }
       }
     },
     leaving: (upstream) => {
-      const leavesIn = upstream.leavesIn ?? (upstream.reclaimable ? NOTICE : undefined)
+      const leavesIn = upstream.leavesIn ?? (upstream.reclaimable ? DEFAULT_RECLAIM_NOTICE : undefined)
       if (leavesIn === undefined) return
       evacuate(upstream, leavesIn).catch((error) => { if (!signal.aborted) log.error('evacuation-failed', { upstream: upstream.id, error: String(error) }) })
     }
--- a/src/gateway/event-stream.ts
+++ b/src/gateway/event-stream.ts
@@ -1,29 +1,29 @@
 /**
- * Cuts the bytes of a `text/event-stream` (https://html.spec.whatwg.org/multipage/server-sent-events.html)
- * into whole events without changing them.
+ * Splits the bytes of a `text/event-stream` (https://html.spec.whatwg.org/multipage/server-sent-events.html) into
+ * complete events without changing them.
  *
- * Failure guarded against: an upstream dies in the middle of an event and another goes on with the next;
- * the caller would read a torn event joined to a whole one. Only whole events are passed on.
+ * Failure guarded against: an upstream dies in the middle of an event and another one continues with the next event, so
+ * the caller would read a truncated event joined to a complete one. Only complete events are passed on.
  */
 
-/** Whole events of one or more pieces. */
-export interface WholeEvents {
+/** Complete events from one or more chunks. */
+export interface CompleteEvents {
   readonly bytes: Buffer
   readonly count: number
-  /** Id of the last event that has one. */
+  /** Id of the last event that has an id. */
   readonly lastId: string | undefined
 }
 
-/** Cutter of one stream. */
-export interface EventCutter {
-  /** Takes a piece; returns the events that it completes. */
-  push (piece: Buffer): WholeEvents
-  /** Whether the stream ends here without a torn event. */
+/** Splitter of one stream. */
+export interface EventSplitter {
+  /** Adds a chunk and returns the events that are complete now. */
+  push (chunk: Buffer): CompleteEvents
+  /** Whether no incomplete event is pending. */
   isWhole (): boolean
 }
 
-/** A longer event ends the stream; upstreams send some hundred bytes. */
-export const LONGEST_EVENT = 1_048_576
+/** Maximum size of an event in bytes. Events of upstreams are usually a few hundred bytes long. */
+export const MAX_EVENT_BYTES = 1_048_576
 
 const LINE_FEED = 0x0a
 const CARRIAGE_RETURN = 0x0d
@@ -31,27 +31,29 @@
 const EMPTY = Buffer.alloc(0)
 
 /**
- * @throws RangeError from `push` for an event beyond {@link LONGEST_EVENT}
+ * Creates a splitter for one stream.
+ *
+ * @throws RangeError from `push` for an event longer than {@link MAX_EVENT_BYTES}
  * @example
- * const cutter = createEventCutter()
- * response.write(cutter.push(piece).bytes)
+ * const splitter = createEventSplitter()
+ * response.write(splitter.push(chunk).bytes)
  */
-export function createEventCutter (): EventCutter {
-  let rest: Buffer = EMPTY
+export function createEventSplitter (): EventSplitter {
+  let pending: Buffer = EMPTY
   return {
-    push: (piece) => {
-      const bytes = rest.length === 0 ? piece : Buffer.concat([rest, piece])
+    push: (chunk) => {
+      const bytes = pending.length === 0 ? chunk : Buffer.concat([pending, chunk])
       const end = endOfLastEvent(bytes)
-      rest = end === bytes.length ? EMPTY : bytes.subarray(end)
-      if (rest.length > LONGEST_EVENT) throw new RangeError('server-sent event is too long')
-      const whole = bytes.subarray(0, end)
-      return { bytes: whole, count: countEvents(whole), lastId: lastIdOf(whole) }
+      pending = end === bytes.length ? EMPTY : bytes.subarray(end)
+      if (pending.length > MAX_EVENT_BYTES) throw new RangeError('server-sent event is too long')
+      const complete = bytes.subarray(0, end)
+      return { bytes: complete, count: countEvents(complete), lastId: lastIdOf(complete) }
     },
-    isWhole: () => rest.length === 0
+    isWhole: () => pending.length === 0
   }
 }
 
-/** Position after the last blank line; 0 when there is none. */
+/** Returns the position after the last blank line, or 0 if there is none. */
 function endOfLastEvent (bytes: Buffer): number {
   for (let index = bytes.length - 1; index > 0; index -= 1) {
     if (bytes[index] === LINE_FEED && isBlankLineBefore(bytes, index)) return index + 1
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -1,9 +1,9 @@
 /**
- * One exchange with one life of an upstream: what was sent, what came back, and whether it may have run.
+ * Connection pools to the upstreams, and the outcome of sending one request to one incarnation of an upstream.
  *
- * A connection to an upstream with any doubt is closed: an answer that belongs to another request, one
- * that ends early, bytes that are no answer. Undici closes it whenever an exchange ends before its
- * answer does, and does the same for an answer that ends before the request was written.
+ * A connection is closed whenever its state is in doubt: the answer belongs to another request, the answer ends early,
+ * or the bytes are not a valid answer. Undici closes the connection when an exchange ends before its answer does, and
+ * when an answer ends before the request was written completely.
  */
 import { buildConnector, Pool } from 'undici'
 import type { Dispatcher } from 'undici'
@@ -14,17 +14,17 @@
 import { addressSchema } from '../identifiers.js'
 import type { AnswerHead, Headers, RequestFormat } from './ports.js'
 
-/** A request as it goes to an upstream. */
+/** A request in the form in which it is sent to an upstream. */
 export interface UpstreamRequest {
   readonly id: string
   readonly method: string
   readonly path: string
-  /** Names and values, one after the other. */
+  /** Alternating header names and values. */
   readonly headers: string[]
   readonly body: Buffer | undefined
 }
 
-/** An answer whose head has come. */
+/** An answer whose status and headers have been received. */
 export interface UpstreamAnswer {
   readonly status: number
   readonly headers: Headers
@@ -32,53 +32,56 @@
 }
 
 /**
- * How an exchange began.
+ * Outcome of an exchange up to the headers of the answer.
  *
- * - `answered`: the upstream ran the request; its answer's body may still break off
- * - `not-run`: it was not run there, and won't be
- * - `broken`: it may have run
+ * - `answered`: the upstream ran the request; the body of its answer may still be cut short
+ * - `not-run`: the upstream has not run the request and will not run it
+ * - `broken`: the upstream may have run the request
  */
 export type ExchangeStart =
   | { readonly kind: 'answered', readonly answer: UpstreamAnswer }
   | { readonly kind: 'not-run', readonly reason: NotRunReason }
   | { readonly kind: 'broken', readonly reason: string }
 
-/** Why a request was not run: no connection came about, or the upstream said so. */
+/** Why a request was not run: no connection could be opened, or the upstream stated that it did not run the request. */
 export type NotRunReason = 'unreachable' | 'full' | 'another-upstream' | 'refused'
 
-/** Connections to all upstreams. */
+/** Connection pools to all upstreams. */
 export interface UpstreamConnections {
-  /** Sends a request. Never rejects. An aborted signal closes the connection. */
+  /** Sends a request. Never rejects. Aborting the signal closes the connection. */
   start (upstream: UpstreamRecord, request: UpstreamRequest, signal: AbortSignal): Promise<ExchangeStart>
-  /** Closes connections to upstreams that aren't there any more, as their exchanges end. */
-  keep (lives: ReadonlySet<UpstreamLife>): void
-  /** Connections that are open now. */
+  /** Closes the pools of all other incarnations. Exchanges that are in progress there finish first. */
+  closeExcept (incarnations: ReadonlySet<UpstreamLife>): void
+  /** Returns the number of open connections. */
   open (): number
-  /** Most connections to one upstream of a service. */
-  limit (service: string, connections: number): void
+  /** Sets the maximum number of connections to each upstream of a service. Applies to pools that are created later. */
+  setConnectionLimit (service: string, connections: number): void
   close (): Promise<void>
 }
 
-/** Connections to one life of an upstream. */
-interface OpenPool {
+/** Connection pool of one incarnation of an upstream. */
+interface IncarnationPool {
   readonly address: string
   readonly pool: Pool
 }
 
-/** One way between failure domains takes 1.4 ms; an upstream that hasn't accepted by then is gone or cut off. */
+/**
+ * Timeout for opening a connection. Latency between failure domains is only 1.4 ms one way, so an upstream that has not
+ * accepted a connection within this time is gone or unreachable.
+ */
 const CONNECT_TIMEOUT: Milliseconds = 400
 
-/** Idle connections are closed before upstreams do it, where they don't say when. */
-const IDLE_TIME: Milliseconds = 3_000
+/** Idle timeout for upstreams that do not announce their own. Connections are closed before the upstream closes them. */
+const DEFAULT_IDLE_TIMEOUT: Milliseconds = 3_000
 
 /**
- * Longest time that an idle connection is kept where its upstream says that it keeps it for longer (`Keep-Alive`). New
- * connections cost the upstreams: 838 in place of 1,083 on a quiet day of 3,760 requests.
+ * Upper bound of the idle timeout that an upstream announces in `Keep-Alive`. A long timeout saves the upstreams new
+ * connections: 838 instead of 1,083 for 3,760 requests at low load.
  */
-const LONGEST_IDLE_TIME: Milliseconds = 20_000
+const MAX_IDLE_TIMEOUT: Milliseconds = 20_000
 
-/** Most connections where a service names no limit. */
-const MOST_CONNECTIONS = 64
+/** Maximum number of connections to one upstream of a service without a configured limit. */
+const DEFAULT_MAX_CONNECTIONS = 64
 
 const NO_CONTENT = 204
 const NOT_MODIFIED = 304
@@ -87,28 +90,30 @@
 const TOO_MANY_REQUESTS = 429
 
 /**
- * @param format how answers are written
- * @param connected called with the time that each new connection took
- * @param heard called with what each answer says of its upstream, and when its request was sent
+ * Creates the connection pools. Pools are opened on first use.
+ *
+ * @param format reads the platform's answer headers
+ * @param onConnect called with the time that each new connection took
+ * @param onSignals called with the signals in each answer and the time at which its request was sent
  * @example
  * const connections = createUpstreamConnections(platform.format, clock, (took) => metrics.record('connecting', took), backpressure.heard)
  * const start = await connections.start(upstream, request, signal)
  */
-export function createUpstreamConnections (format: RequestFormat, clock: Clock, connected: (took: Milliseconds) => void, heard: (upstream: UpstreamRecord, signals: UpstreamSignals, sentAt: Milliseconds) => void): UpstreamConnections {
+export function createUpstreamConnections (format: RequestFormat, clock: Clock, onConnect: (took: Milliseconds) => void, onSignals: (upstream: UpstreamRecord, signals: UpstreamSignals, sentAt: Milliseconds) => void): UpstreamConnections {
   const connector = buildConnector({ timeout: CONNECT_TIMEOUT })
 
-  const pools = new Map<UpstreamLife, OpenPool>()
+  const pools = new Map<UpstreamLife, IncarnationPool>()
   const limits = new Map<string, number>()
 
   function poolOf (upstream: UpstreamRecord): Pool {
-    const known = pools.get(upstream.life)
-    if (known?.address === upstream.address) return known.pool
-    known?.pool.close().catch(() => {})
+    const existing = pools.get(upstream.life)
+    if (existing?.address === upstream.address) return existing.pool
+    existing?.pool.close().catch(() => {})
     const pool = new Pool(`http://${upstream.address}`, {
-      connections: limits.get(upstream.service) ?? MOST_CONNECTIONS,
+      connections: limits.get(upstream.service) ?? DEFAULT_MAX_CONNECTIONS,
       pipelining: 1,
-      keepAliveTimeout: IDLE_TIME,
-      keepAliveMaxTimeout: LONGEST_IDLE_TIME,
+      keepAliveTimeout: DEFAULT_IDLE_TIMEOUT,
+      keepAliveMaxTimeout: MAX_IDLE_TIMEOUT,
       connect: timedConnect,
       headersTimeout: 0,
       bodyTimeout: 0
@@ -120,7 +125,7 @@
   function timedConnect (options: buildConnector.Options, callback: buildConnector.Callback): void {
     const start = clock.now()
     connector(options, (...result) => {
-      if (result[0] === null) connected(clock.now() - start)
+      if (result[0] === null) onConnect(clock.now() - start)
       callback(...result)
     })
   }
@@ -136,8 +141,8 @@
         signal
       })
       const head = format.readAnswer(headers, statusCode)
-      if (isOf(upstream, request.id, head, statusCode)) heard(upstream, head.signals, sentAt)
-      return judge(request.id, { status: statusCode, headers, body }, head)
+      if (isFromUpstream(upstream, request.id, head, statusCode)) onSignals(upstream, head.signals, sentAt)
+      return classifyAnswer(request.id, { status: statusCode, headers, body }, head)
     } catch (error) {
       const failure = connectionFailure(error, addressSchema.parse(upstream.address))
       return failure.verdict === 'not-run' ? { kind: 'not-run', reason: 'unreachable' } : { kind: 'broken', reason: failure.message }
@@ -146,51 +151,52 @@
 
   return {
     start,
-    keep: (lives) => {
-      for (const [life, { pool }] of pools) {
-        if (lives.has(life)) continue
-        pools.delete(life)
+    closeExcept: (incarnations) => {
+      for (const [incarnation, { pool }] of pools) {
+        if (incarnations.has(incarnation)) continue
+        pools.delete(incarnation)
         pool.close().catch(() => {})
       }
     },
     open: () => [...pools.values()].reduce((sum, { pool }) => sum + pool.stats.connected, 0),
-    limit: (service, connections) => { limits.set(service, connections) },
+    setConnectionLimit: (service, connections) => { limits.set(service, connections) },
     close: async () => { await Promise.all([...pools.values()].map(({ pool }) => pool.destroy())) }
   }
 }
 
 /**
- * Failure guarded against: another upstream stands at the address by now, and what it says of itself would be taken for
- * the word of the one that was there before.
+ * Failure guarded against: the address has been reassigned to another upstream, and the signals in its answer are
+ * attributed to the previous one. Signals count only if the answer carries the request's id and does not name another
+ * upstream.
  */
-function isOf (upstream: UpstreamRecord, request: string, head: AnswerHead, status: number): boolean {
+function isFromUpstream (upstream: UpstreamRecord, request: string, head: AnswerHead, status: number): boolean {
   return status !== MISDIRECTED && head.id === request && (head.upstream === undefined || head.upstream === upstream.id)
 }
 
 /**
- * Failure guarded against: an upstream sends a second answer after a complete one, and it is read as the
- * answer to the next request on that connection. The id that answers carry tells them apart; the
- * connection isn't used again, and the request that was sent on it may have run.
+ * Failure guarded against: an upstream sends a second answer after a complete one, and the gateway reads it as the
+ * answer to the next request on the same connection. Answers carry the id of their request, which reveals the mismatch.
+ * The connection is then closed, and the request sent on it is treated as one that may have run.
  */
-function judge (id: string, answer: UpstreamAnswer, head: AnswerHead): ExchangeStart {
-  if (head.id !== undefined && head.id !== id) return discard(answer, { kind: 'broken', reason: 'the answer belongs to another request' })
-  if (head.notRun) return drain(answer, { kind: 'not-run', reason: reasonOf(answer.status) })
-  if (head.id === undefined) return discard(answer, { kind: 'broken', reason: 'the answer names no request' })
-  if (!isFramed(answer)) return discard(answer, { kind: 'broken', reason: 'the answer has no length' })
+function classifyAnswer (id: string, answer: UpstreamAnswer, head: AnswerHead): ExchangeStart {
+  if (head.id !== undefined && head.id !== id) return discardConnection(answer, { kind: 'broken', reason: 'the answer belongs to another request' })
+  if (head.notRun) return drainBody(answer, { kind: 'not-run', reason: notRunReason(answer.status) })
+  if (head.id === undefined) return discardConnection(answer, { kind: 'broken', reason: 'the answer names no request' })
+  if (!isFramed(answer)) return discardConnection(answer, { kind: 'broken', reason: 'the answer has no length' })
   return { kind: 'answered', answer }
 }
 
 /**
- * Failure guarded against: an answer without a length ends with its connection, and an upstream that
- * crashes ends its connections as one that has said everything does; the caller would get a fragment that
- * looks complete. What can't be told from a fragment isn't passed on.
+ * Failure guarded against: an answer without a length ends when its connection closes. A crashing upstream closes its
+ * connections in the same way as one that has sent everything, so the caller would receive a truncated answer that
+ * looks complete. Such answers are rejected because the two cases cannot be told apart.
  */
 function isFramed ({ status, headers }: UpstreamAnswer): boolean {
   if (status === NO_CONTENT || status === NOT_MODIFIED) return true
   return headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined
 }
 
-function reasonOf (status: number): NotRunReason {
+function notRunReason (status: number): NotRunReason {
   switch (status) {
     case MISDIRECTED: return 'another-upstream'
     case SERVICE_UNAVAILABLE:
@@ -199,14 +205,15 @@
   }
 }
 
-/** The connection stays in use once the short body has been read. */
-function drain (answer: UpstreamAnswer, result: ExchangeStart): ExchangeStart {
+/** Reads and drops the short body, so that the connection can be reused. */
+function drainBody (answer: UpstreamAnswer, result: ExchangeStart): ExchangeStart {
   answer.body.on('error', () => {})
   answer.body.resume()
   return result
 }
 
-function discard (answer: UpstreamAnswer, result: ExchangeStart): ExchangeStart {
+/** Destroys the body, which closes the connection. */
+function discardConnection (answer: UpstreamAnswer, result: ExchangeStart): ExchangeStart {
   answer.body.on('error', () => {})
   answer.body.destroy()
   return result
--- a/src/gateway/forwarding.ts
+++ b/src/gateway/forwarding.ts
@@ -1,6 +1,6 @@
 /**
- * The way of a request: accepted, sent to one upstream after another as far as its kind allows, answered,
- * accounted for.
+ * Life cycle of a request: acceptance, attempts at one or more upstreams as far as the route allows, answer and
+ * accounting.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import { readBody } from '../caller/http.js'
@@ -11,30 +11,33 @@
 import { toServingError } from '../verdict.js'
 import type { ServingError } from '../verdict.js'
 import { acceptHead, refusal, takeQuota } from './acceptance.js'
-import { account } from './accounting.js'
-import type { AnswerOutcome, Call, Ending } from './accounting.js'
+import { recordRequest } from './accounting.js'
+import type { AnswerOutcome, CallerRequest, RequestEnd } from './accounting.js'
 import { answerFailure } from './answering.js'
 import type { GatewayContext } from './context.js'
 import type { Continuation } from './evacuation.js'
 import { fingerprintOf } from './fingerprint.js'
-import { endFailure, maySendAgain, NO_UPSTREAM_WAIT, unsent } from './passage.js'
-import type { Passage } from './passage.js'
-import { sendOnce } from './sending.js'
-import { mayBegin } from './stopping-rule.js'
+import { abortFailure, mayRetry, NO_UPSTREAM_RETRY_AFTER, undispatchedFailure } from './proxied-request.js'
+import type { ProxiedRequest } from './proxied-request.js'
+import { dispatchAttempt } from './attempt.js'
+import { mayAdmit } from './stopping-rule.js'
 import { abortAtEnd, createTimeLimit } from './time-limit.js'
-import type { EndReason } from './time-limit.js'
+import type { AbortReason } from './time-limit.js'
 
-/** Part of the target for which a request waits for an upstream to get free before it is refused. */
-const WAITING_PART = 1 / 8
+/** Fraction of the route's target for which a request waits for an available upstream before it is refused. */
+const UPSTREAM_WAIT_FRACTION = 1 / 8
 
-/** Pause between two looks for a free upstream. */
-const WAITING_PERIOD: Milliseconds = 10
+/** Interval at which a waiting request looks for an available upstream. */
+const UPSTREAM_POLL_PERIOD: Milliseconds = 10
 
-/** When a caller may try a request again that crashed upstreams: it is forgotten after twice this time without news. */
-const QUARANTINE_WAIT: Milliseconds = 30_000
+/**
+ * `Retry-After` for a request that crashed upstreams. The quarantine expires after twice this time without another
+ * crash.
+ */
+const QUARANTINE_RETRY_AFTER: Milliseconds = 30_000
 
-/** A caller that is turned away by a stopping node asks another one at once. */
-const STOPPING_WAIT: Milliseconds = 10
+/** `Retry-After` of a stopping node. It is short because the caller can retry at another node at once. */
+const STOPPING_RETRY_AFTER: Milliseconds = 10
 
 /**
  * Handles one request of a caller. Never rejects.
@@ -44,60 +47,65 @@
  */
 export async function forwardRequest (context: GatewayContext, request: IncomingMessage, response: ServerResponse): Promise<void> {
   const { clock, format, log } = context
-  const call: Call = { head: format.readRequest(request.headers), arrival: clock.now(), accepted: undefined, passage: undefined }
+  const callerRequest: CallerRequest = { head: format.readRequest(request.headers), arrival: clock.now(), accepted: undefined, proxied: undefined }
   const controller = new AbortController()
-  response.on('close', () => { if (!response.writableFinished) controller.abort('caller-gone' satisfies EndReason) })
-  const undo: (() => void)[] = []
-  let ending: Ending
+  response.on('close', () => { if (!response.writableFinished) controller.abort('caller-gone' satisfies AbortReason) })
+  const cleanup: (() => void)[] = []
+  let end: RequestEnd
   try {
-    call.passage = await accept(context, request, response, call, controller, undo)
-    ending = { kind: 'answered', outcome: await sendUntilDone(context, call.passage) }
+    callerRequest.proxied = await acceptRequest(context, request, response, callerRequest, controller, cleanup)
+    end = { kind: 'answered', outcome: await dispatchUntilDone(context, callerRequest.proxied) }
   } catch (error) {
     const failure = toServingError(error, 'may-have-run')
-    ending = { kind: 'failed', failure }
-    if (failure.code === 'internal') log.error('request-failed-unexpectedly', { request: call.head.id, error: String((error as Error).stack) })
-    if (controller.signal.reason !== 'caller-gone') answerFailure(response, format, call.head.id, failure)
+    end = { kind: 'failed', failure }
+    if (failure.code === 'internal') log.error('request-failed-unexpectedly', { request: callerRequest.head.id, error: String((error as Error).stack) })
+    if (controller.signal.reason !== 'caller-gone') answerFailure(response, format, callerRequest.head.id, failure)
   } finally {
-    for (const step of undo) step()
+    for (const step of cleanup) step()
   }
-  account(context, call, ending)
+  recordRequest(context, callerRequest, end)
 }
 
 /**
- * Checks a request and reads it whole.
+ * Checks a request and reads its whole body.
  *
- * @param undo what is to be done at its end
+ * @param cleanup collects functions to be called when the request ends
  * @throws ServingError `not-run`
  */
-async function accept (context: GatewayContext, request: IncomingMessage, response: ServerResponse, call: Call, controller: AbortController, undo: (() => void)[]): Promise<Passage> {
+async function acceptRequest (context: GatewayContext, request: IncomingMessage, response: ServerResponse, callerRequest: CallerRequest, controller: AbortController, cleanup: (() => void)[]): Promise<ProxiedRequest> {
   const { clock } = context
-  const { head, arrival } = call
+  const { head, arrival } = callerRequest
   checkHeadSize(context, request)
-  const accepted = acceptHead(context.table(), head, request.headers.host, request.url ?? '/')
-  call.accepted = accepted
+  const accepted = acceptHead(context.routeTable(), head, request.headers.host, request.url ?? '/')
+  callerRequest.accepted = accepted
   const stop = context.stop()
-  if (stop !== undefined && !mayBegin({ now: arrival, ...stop }, accepted.route, head, context.speeds.of(accepted.route.destinations[0]?.service ?? ''))) throw refusal('stopping', 'this node stops before the request would end', STOPPING_WAIT)
+  if (stop !== undefined && !mayAdmit({ now: arrival, ...stop }, accepted.route, head, context.speeds.of(accepted.route.destinations[0]?.service ?? ''))) throw refusal('stopping', 'this node stops before the request would end', STOPPING_RETRY_AFTER)
   const limit = createTimeLimit(arrival, head.deadline, accepted.route)
-  undo.push(abortAtEnd(clock, limit, controller))
+  cleanup.push(abortAtEnd(clock, limit, controller))
   const body = await readWholeBody(context, request, controller.signal)
   const fingerprint = fingerprintOf(request.url ?? '/', accepted.organisation?.name, body)
-  if (context.quarantine.isRefused(fingerprint, clock.now())) throw refusal('overloaded', 'this request has crashed the upstreams that ran it', QUARANTINE_WAIT)
+  if (context.quarantine.isRefused(fingerprint, clock.now())) throw refusal('overloaded', 'this request has crashed the upstreams that ran it', QUARANTINE_RETRY_AFTER)
   const giveBack = takeQuota(context, accepted)
   const service = chooseService(accepted.route, context.random) ?? ''
   context.retryBudget(service).request(arrival)
-  const passage: Passage = { accepted, request, response, body, fingerprint, arrival, limit, signal: controller.signal, service, side: undefined, tried: new Set(), upstream: undefined, attempts: 0, unrun: 0, arrivals: 0, progress: { lastId: head.lastEvent, events: 0 }, counted: false, firstAnswer: undefined }
-  undo.push(() => { if (passage.attempts === 0) giveBack() })
-  return passage
+  const proxied: ProxiedRequest = { accepted, request, response, body, fingerprint, arrival, limit, signal: controller.signal, service, side: undefined, tried: new Set(), upstream: undefined, attempts: 0, unrun: 0, deliveredAttempts: 0, progress: { lastId: head.lastEvent, events: 0 }, usageCounted: false, timeToFirstAnswer: undefined }
+  cleanup.push(() => { if (proxied.attempts === 0) giveBack() })
+  return proxied
 }
 
-/** Sends until an upstream has answered or nothing more may be sent. @returns how it ended */
-async function sendUntilDone (context: GatewayContext, passage: Passage): Promise<AnswerOutcome> {
+/**
+ * Makes attempts until an upstream has answered or no further attempt is allowed.
+ *
+ * @returns whether the answer was a success
+ * @throws ServingError when no attempt was answered
+ */
+async function dispatchUntilDone (context: GatewayContext, proxied: ProxiedRequest): Promise<AnswerOutcome> {
   let continuation: Continuation | undefined
   for (;;) {
-    const choice = continuation === undefined ? await findUpstream(context, passage) : continued(continuation)
-    passage.tried.add(choice.upstream.life)
-    passage.upstream = choice.upstream.id
-    const result = await sendOnce(context, passage, choice, continuation?.reference)
+    const choice = continuation === undefined ? await waitForUpstream(context, proxied) : continuationChoice(continuation)
+    proxied.tried.add(choice.upstream.life)
+    proxied.upstream = choice.upstream.id
+    const result = await dispatchAttempt(context, proxied, choice, continuation?.reference)
     continuation = undefined
     switch (result.kind) {
       case 'done': return result.outcome
@@ -105,84 +113,91 @@
       case 'moved':
         continuation = result.continuation
         break
-      case 'again': if (!maySendAgain(context, passage, result.verdict)) throw result.failure
+      case 'again': if (!mayRetry(context, proxied, result.verdict)) throw result.failure
     }
   }
 }
 
-/** Its prompt has been read, and its memory is there. */
-function continued ({ upstream }: Continuation): Choice {
+/** Choice of the upstream to which a run was moved. No prefill is needed because the run's memory is already there. */
+function continuationChoice ({ upstream }: Continuation): Choice {
   return { upstream, reading: 0, cached: 0, waiting: 0, candidates: 1 }
 }
 
-/** Waits for a while when no upstream may take the request now. */
-async function findUpstream (context: GatewayContext, passage: Passage): Promise<Choice> {
+/**
+ * Chooses an upstream. While none is available, waits for up to {@link UPSTREAM_WAIT_FRACTION} of the target.
+ *
+ * @throws ServingError when no upstream became available
+ */
+async function waitForUpstream (context: GatewayContext, proxied: ProxiedRequest): Promise<Choice> {
   const { clock } = context
-  const patience = Math.min(passage.limit.end, clock.now() + passage.accepted.route.target * WAITING_PART)
+  const waitUntil = Math.min(proxied.limit.end, clock.now() + proxied.accepted.route.target * UPSTREAM_WAIT_FRACTION)
   for (;;) {
-    const choice = choose(context, passage)
+    const choice = tryChooseUpstream(context, proxied)
     if (choice !== undefined) {
-      if (passage.tried.size === 0) context.work.add(passage.service, choice.reading, passage.accepted.head.tokens?.generated ?? 0, clock.now())
+      if (proxied.tried.size === 0) context.work.add(proxied.service, choice.reading, proxied.accepted.head.tokens?.generated ?? 0, clock.now())
       return choice
     }
-    if (passage.signal.aborted) throw endFailure(passage)
-    const withheld = withheldFor(context, passage)
-    if (clock.now() + withheld >= patience) throw noUpstream(context, passage, withheld)
-    await clock.sleep(WAITING_PERIOD, passage.signal).catch(() => {})
+    if (proxied.signal.aborted) throw abortFailure(proxied)
+    const remainingWait = backpressureWait(context, proxied)
+    if (clock.now() + remainingWait >= waitUntil) throw noUpstreamFailure(context, proxied, remainingWait)
+    await clock.sleep(UPSTREAM_POLL_PERIOD, proxied.signal).catch(() => {})
   }
 }
 
 /**
- * Time until the first upstream takes requests of this node again, where all have asked for less; 0 elsewhere. A request that
- * can't be sent in time is refused at once, with the time at which it can.
+ * Time until the first upstream accepts requests of this node again, if all of them have asked for fewer requests;
+ * otherwise 0. A request that cannot be sent in time is refused at once, with this time as its `Retry-After`.
  */
-function withheldFor ({ clock, upstreams, backpressure }: GatewayContext, { service, tried }: Passage): Milliseconds {
+function backpressureWait ({ clock, upstreams, backpressure }: GatewayContext, { service, tried }: ProxiedRequest): Milliseconds {
   const waits = upstreams.notLeaving(service, tried).map(({ life }) => backpressure.wait(life, clock.now()))
   return waits.length === 0 ? 0 : Math.min(...waits)
 }
 
-function noUpstream (context: GatewayContext, passage: Passage, withheld: Milliseconds): ServingError {
+function noUpstreamFailure (context: GatewayContext, proxied: ProxiedRequest, remainingWait: Milliseconds): ServingError {
   const { clock, log, upstreams } = context
   log.info('upstream-not-found', {
-    request: passage.accepted.head.id,
-    service: passage.service,
-    ready: upstreams.candidates(passage.service, new Set(), clock.now()).length,
-    tried: passage.tried.size,
-    waited: Math.round(clock.now() - passage.arrival),
-    withheld: withheld > 0 ? Math.round(withheld) : undefined,
-    ...context.sources()
+    request: proxied.accepted.head.id,
+    service: proxied.service,
+    ready: upstreams.candidates(proxied.service, new Set(), clock.now()).length,
+    tried: proxied.tried.size,
+    waited: Math.round(clock.now() - proxied.arrival),
+    withheld: remainingWait > 0 ? Math.round(remainingWait) : undefined,
+    ...context.freshness()
   })
-  return unsent(passage, 'no-upstream', 'no upstream may take the request now', Math.max(NO_UPSTREAM_WAIT, withheld))
+  return undispatchedFailure(proxied, 'no-upstream', 'no upstream may take the request now', Math.max(NO_UPSTREAM_RETRY_AFTER, remainingWait))
 }
 
-function choose (context: GatewayContext, passage: Passage): Choice | undefined {
+function tryChooseUpstream (context: GatewayContext, proxied: ProxiedRequest): Choice | undefined {
   const now = context.clock.now()
-  const { head, route } = passage.accepted
-  const work: Work = { service: passage.service, parts: head.parts, promptTokens: head.tokens?.prompt ?? 0, target: route.target, bound: route.kind === 'stream' && !route.resumable }
-  const hasEngines = context.table()?.service(passage.service)?.hasEngines === true
-  passage.side ??= context.rollouts.side(passage.service)
-  // What a new version failed is sent again to one that is known to serve.
-  const side = passage.tried.size === 0 ? passage.side : 'serving'
-  const candidates = context.upstreams.candidates(passage.service, passage.tried, now, (present) => context.rollouts.admit(passage.service, side, present))
-  const choice = chooseUpstream(work, candidates, context.settings, hasEngines ? ENGINE_COSTS : PLAIN_COSTS, context.speeds.of(passage.service))
+  const { head, route } = proxied.accepted
+  const work: Work = { service: proxied.service, parts: head.parts, promptTokens: head.tokens?.prompt ?? 0, target: route.target, bound: route.kind === 'stream' && !route.resumable }
+  const hasEngines = context.routeTable()?.service(proxied.service)?.hasEngines === true
+  proxied.side ??= context.rollouts.side(proxied.service)
+  // A request that failed at the version being rolled out is retried at the version that already serves.
+  const side = proxied.tried.size === 0 ? proxied.side : 'serving'
+  const candidates = context.upstreams.candidates(proxied.service, proxied.tried, now, (present) => context.rollouts.admit(proxied.service, side, present))
+  const choice = chooseUpstream(work, candidates, context.settings, hasEngines ? ENGINE_COSTS : PLAIN_COSTS, context.speeds.of(proxied.service))
   if (choice !== undefined) context.backpressure.taken(choice.upstream.life, now)
   return choice
 }
 
 function checkHeadSize (context: GatewayContext, request: IncomingMessage): void {
-  const limits = context.table()?.configuration.limits
+  const limits = context.routeTable()?.configuration.limits
   if (limits === undefined) return
   const size = request.rawHeaders.reduce((sum, text) => sum + text.length + 2, (request.url ?? '').length)
   if (size > limits.headerBytes) throw refusal('header-too-large', `the header is larger than ${limits.headerBytes} bytes`)
 }
 
-/** @returns undefined when the request has no body */
+/**
+ * @returns undefined when the request has no body
+ * @throws ServingError `too-large` or `request-timeout`
+ */
 async function readWholeBody (context: GatewayContext, request: IncomingMessage, signal: AbortSignal): Promise<Buffer | undefined> {
   const { headers } = request
   if (headers['content-length'] === undefined && headers['transfer-encoding'] === undefined) return undefined
-  const most = context.table()?.configuration.limits.bodyBytes ?? Infinity
-  const slow = new Promise<never>((_resolve, reject) => {
+  const maxBytes = context.routeTable()?.configuration.limits.bodyBytes ?? Infinity
+  const timedOut = new Promise<never>((_resolve, reject) => {
     signal.addEventListener('abort', () => reject(refusal('request-timeout', 'the body did not come in time')), { once: true })
   })
-  return Promise.race([readBody(request, most), slow])
+  return Promise.race([readBody(request, maxBytes), timedOut])
 }
--- a/src/gateway/listener.ts
+++ b/src/gateway/listener.ts
@@ -1,42 +1,45 @@
-/** The callers' listener: limits on what a caller may send and how long it may take. */
+/** HTTP server for callers, with limits on the size and duration of requests. */
 import { createServer } from 'node:http'
 import type { RequestListener, Server, ServerResponse } from 'node:http'
 import type { Socket } from 'node:net'
 import type { CallerLimits } from '../routing/index.js'
 
-/** How often connections beyond their time are looked for, in milliseconds. */
-const CHECK_PERIOD = 1_000
+/** Interval of the checks for connections that have exceeded a time limit, in milliseconds. */
+const CHECK_PERIOD_MS = 1_000
 
-/** Headers that the parser takes in before the configured limit is applied to a whole head. */
-const PARSER_HEADER_BYTES = 65_536
+/** Maximum header size for the parser. The configured limit, which applies to the whole head, is checked later. */
+const MAX_PARSER_HEADER_BYTES = 65_536
 
-/** Milliseconds beyond the idle limit for which a connection is kept, so that a request that crosses the limit is served. */
-const IDLE_SLACK = 1_000
+/**
+ * Milliseconds for which a connection is kept beyond the idle limit, so that a request sent just before the limit is
+ * served.
+ */
+const IDLE_TOLERANCE_MS = 1_000
 
-/** Descriptors of a process that its files and the connections between nodes take. */
+/** File descriptors reserved for files and for connections between nodes. */
 const RESERVED_DESCRIPTORS = 300
 
-/** Part of the other descriptors that callers may take; the rest is for upstreams. */
-const CALLERS_PART = 0.7
+/** Share of the remaining descriptors that callers may use. The rest is for upstreams. */
+const CALLER_SHARE = 0.7
 
-/** Status of an error that the parser raises; anything else is a malformed request. */
+/** Statuses of parser errors. Any other error is answered with 400. */
 const PARSER_STATUS: Readonly<Record<string, string>> = {
   HPE_HEADER_OVERFLOW: '431 Request Header Fields Too Large',
   ERR_HTTP_REQUEST_TIMEOUT: '408 Request Timeout'
 }
 
 /**
- * A server that doesn't listen yet. The parser refuses ambiguous framing (RFC 9112, 6.3): both lengths at
- * once, two lengths, chunked that isn't last.
+ * Creates a server that is not listening yet. Its parser refuses ambiguous framing (RFC 9112, 6.3): `Content-Length`
+ * together with `Transfer-Encoding`, two lengths, or a transfer encoding that does not end with `chunked`.
  *
- * @param malformed called for each request that the parser refuses
+ * @param onMalformed called with the error code of each request that the parser refuses
  * @example
  * const server = createCallerServer((request, response) => forward(request, response), (code) => metrics.count(code))
  */
-export function createCallerServer (handle: RequestListener, malformed: (code: string) => void): Server {
+export function createCallerServer (handle: RequestListener, onMalformed: (code: string) => void): Server {
   const server = createServer({
-    maxHeaderSize: PARSER_HEADER_BYTES,
-    connectionsCheckingInterval: CHECK_PERIOD,
+    maxHeaderSize: MAX_PARSER_HEADER_BYTES,
+    connectionsCheckingInterval: CHECK_PERIOD_MS,
     requestTimeout: 0,
     noDelay: true
   }, handle)
@@ -45,36 +48,43 @@
       socket.destroy()
       return
     }
-    malformed(error.code ?? 'unknown')
-    // Failure guarded against: a malformed second request on a connection whose first is being answered;
-    // an error written here would be read as the first one's answer.
+    onMalformed(error.code ?? 'unknown')
+    // Failure guarded against: a malformed second request arrives while the first one is being answered, and an error
+    // written here would be read as the answer to the first request.
     if (isAnswering(socket)) socket.destroy()
     else socket.end(`HTTP/1.1 ${PARSER_STATUS[error.code ?? ''] ?? '400 Bad Request'}\r\nConnection: close\r\nContent-Length: 0\r\n\r\n`)
   })
   return server
 }
 
-/** Puts configured limits in force on a running server. */
-export function limitCallers (server: Server, limits: CallerLimits): void {
+/**
+ * Applies configured limits to a running server.
+ *
+ * @example
+ * applyCallerLimits(server, configuration.limits)
+ */
+export function applyCallerLimits (server: Server, limits: CallerLimits): void {
   server.headersTimeout = limits.headerTime
-  server.keepAliveTimeout = limits.idleTime + IDLE_SLACK
+  server.keepAliveTimeout = limits.idleTime + IDLE_TOLERANCE_MS
 }
 
 /**
- * Failure guarded against: callers open so many connections that none is left for upstreams, and every
- * request is refused. Connections beyond this part are closed before a byte of them is read, and their
- * callers choose another node.
+ * Returns the maximum number of connections from callers.
+ *
+ * Failure guarded against: callers use up the file descriptors, no connection to an upstream can be opened, and every
+ * request is refused. Connections beyond the maximum are closed before any data is read, and their callers choose
+ * another node.
  *
- * @param descriptors most open descriptors of this process
+ * @param descriptors maximum number of open descriptors of this process
  * @example
- * server.maxConnections = callerConnections(4_100) // 2_660
+ * server.maxConnections = maxCallerConnections(4_100) // 2_660
  */
-export function callerConnections (descriptors: number): number {
-  return Math.max(1, Math.floor((descriptors - RESERVED_DESCRIPTORS) * CALLERS_PART))
+export function maxCallerConnections (descriptors: number): number {
+  return Math.max(1, Math.floor((descriptors - RESERVED_DESCRIPTORS) * CALLER_SHARE))
 }
 
 function isAnswering (socket: Socket): boolean {
-  // node:http keeps the answer that is being written here; there is no public way to ask.
+  // node:http keeps the response in progress in this property. There is no public API for it.
   const { _httpMessage: answer } = socket as Socket & { _httpMessage?: ServerResponse | null }
   return answer != null
 }
--- a/src/gateway/node-metrics.ts
+++ b/src/gateway/node-metrics.ts
@@ -4,7 +4,7 @@
 import type { QuotaLimiter, RetryBudget } from '../quota/index.js'
 import type { RolloutEvidence } from '../rollout/index.js'
 import type { Backpressure } from './backpressure.js'
-import type { Sources } from './context.js'
+import type { StateFreshness } from './context.js'
 import type { UpstreamConnections } from './exchange.js'
 import type { Fleet } from './fleet.js'
 import type { GatewayMetrics } from './metrics.js'
@@ -18,7 +18,7 @@
   readonly log: EventLog
   readonly signal: AbortSignal
   readonly sums: RequestSums
-  readonly sources: () => Sources
+  readonly sources: () => StateFreshness
   readonly fleet: Fleet
   readonly upstreams: UpstreamView
   readonly connections: UpstreamConnections
@@ -47,7 +47,7 @@
   metrics.gauge('upstreams_age_ms', () => sources().upstreamsAge)
   metrics.gauge('upstreams_known', () => upstreams.all().length)
   metrics.gauge('upstream_connections', connections.open)
-  metrics.gauge('upstreams_limited', options.backpressure.limited)
+  metrics.gauge('upstreams_limited', options.backpressure.limitedUpstreams)
   metrics.gauge('nodes_known', () => sources().nodes)
   metrics.gauge('nodes_live', () => fleet.others().reduce((sum, { nodes }) => sum + nodes, 1))
   metrics.gauge('nodes_oldest_ms', fleet.maxSilence)
@@ -66,7 +66,7 @@
     const due = clock.now() + PERIOD
     await clock.sleep(PERIOD, signal)
     metrics.record('loop_delay', clock.now() - due)
-    sums.tell(log, clock.now())
+    sums.flush(log, clock.now())
   }
 }
 
--- a/src/gateway/node.ts
+++ b/src/gateway/node.ts
@@ -19,7 +19,7 @@
 import { answerFailure } from './answering.js'
 import { createBackpressure } from './backpressure.js'
 import { createConfigurationWatcher } from './configuration-watcher.js'
-import type { GatewayContext, Sources, StopTimes } from './context.js'
+import type { GatewayContext, StateFreshness, StopTimes } from './context.js'
 import { startDuties } from './duties.js'
 import { createDutyHolder, DUTY_KEY } from './duty-holder.js'
 import type { DutyHolder } from './duty-holder.js'
@@ -29,7 +29,7 @@
 import type { Fleet, LocalReport } from './fleet.js'
 import type { StoreContext, PrefixSubscription } from './follow.js'
 import { forwardRequest } from './forwarding.js'
-import { callerConnections, createCallerServer, limitCallers } from './listener.js'
+import { maxCallerConnections, createCallerServer, applyCallerLimits } from './listener.js'
 import { createGatewayMetrics } from './metrics.js'
 import { exposeNodeMetrics } from './node-metrics.js'
 import type { Platform } from './ports.js'
@@ -132,7 +132,7 @@
       .catch((error) => log.error('request-handler-failed', { error: String(error) }))
       .finally(() => { inFlight -= 1 })
   }, (code) => metrics.count('malformed_requests', { code }))
-  server.maxConnections = callerConnections(settings.mostDescriptors)
+  server.maxConnections = maxCallerConnections(settings.mostDescriptors)
   const front = await listenAt(server, settings.front)
 
   const rolloutRecords = watchRolloutRecords(followContext, platform.registry.rollouts, bounds.configurationApplies, (service) => rollouts.changed(service))
@@ -190,10 +190,10 @@
     sums,
     work,
     retryBudget,
-    tellReading: fleet.announcePrefill,
-    table: configuration.table,
+    announcePrefill: fleet.announcePrefill,
+    routeTable: configuration.table,
     sharedWall: fleet.wall,
-    sources,
+    freshness: sources,
     stop: () => stopping
   }
   const upstreamsFollowing = watchUpstreams(followContext, platform.registry, upstreams, connections, bounds.upstreamDrain, evacuation.leaving)
@@ -205,7 +205,7 @@
   // vacant until the next periodic check of their key about ten seconds later, and surplus upstreams run on at full cost.
   holder.onLeaseDeleted()
   repeat({ clock, log, signal: shutdown.signal }, 'shares', SHARE_PERIOD, () => {
-    backpressure.deal(fleet.nodeNames())
+    backpressure.setNodes(fleet.nodeNames())
     applyShares()
   })
   repeat({ clock, log, signal: shutdown.signal }, 'speeds', SPEED_PERIOD, speeds.update)
@@ -223,7 +223,7 @@
     return listenAt(paths, hostPort)
   }
 
-  function sources (): Sources {
+  function sources (): StateFreshness {
     return {
       configuration: configuration.table()?.configuration.version,
       configurationAge: ageOf(configuration.subscription),
@@ -294,14 +294,14 @@
   }
 
   function applyLimits (next: RoutingConfiguration): void {
-    limitCallers(server, next.limits)
+    applyCallerLimits(server, next.limits)
     limitConnections()
   }
 
   /** Limits the connections to each upstream to this node's share of what the upstream accepts. */
   function limitConnections (): void {
     for (const { name, mostConnections } of configuration.table()?.configuration.services ?? []) {
-      connections.limit(name, Math.max(1, Math.floor(mostConnections * CONNECTION_FRACTION / Math.max(MIN_ASSUMED_NODES, sharedAmong))))
+      connections.setConnectionLimit(name, Math.max(1, Math.floor(mostConnections * CONNECTION_FRACTION / Math.max(MIN_ASSUMED_NODES, sharedAmong))))
     }
   }
 
--- a/src/gateway/request-sums.ts
+++ b/src/gateway/request-sums.ts
@@ -1,18 +1,20 @@
 /**
- * Sums of what became of requests. Lines of single requests are left out under load; these are not, so a day
- * can be drawn from them.
+ * Numbers of requests by outcome. Log lines of single requests are dropped under load, but these sums are always
+ * logged, so the course of a day can be reconstructed from them.
  */
 import type { Milliseconds } from '../clock.js'
 import type { DayOutcome, EventLog } from '../events/index.js'
 
-/** Requests by what became of them. */
+/** Numbers of requests by outcome since the last flush. */
 export interface RequestSums {
-  add (sum: DayOutcome): void
-  /** Writes the sums since the last time, if there are any. */
-  tell (log: EventLog, now: Milliseconds): void
+  add (outcome: DayOutcome): void
+  /** Logs and resets the sums. Logs nothing if there were no requests. */
+  flush (log: EventLog, now: Milliseconds): void
 }
 
 /**
+ * Creates empty sums.
+ *
  * @example
  * const sums = createRequestSums(clock.now())
  * sums.add('served')
@@ -21,8 +23,8 @@
   let counts = noRequests()
   let since = start
   return {
-    add: (sum) => { counts[sum] += 1 },
-    tell: (log, now) => {
+    add: (outcome) => { counts[outcome] += 1 },
+    flush: (log, now) => {
       if (Object.values(counts).some((count) => count > 0)) log.info('requests-summed', { ...counts, span: Math.round(now - since) })
       counts = noRequests()
       since = now
--- a/src/gateway/service-paths.ts
+++ b/src/gateway/service-paths.ts
@@ -1,25 +1,25 @@
-/** The addresses at which the platform and callers ask a node: readiness, addresses, metrics. */
+/** HTTP endpoints of a node for the platform and for callers: readiness, node addresses and metrics. */
 import type { Server } from 'node:http'
 import restana from 'restana'
 import type { Milliseconds } from '../clock.js'
 import type { NodePaths } from './ports.js'
 
-/** What the paths answer from. */
+/** Options of {@link createServicePaths}. */
 export interface ServicePathOptions {
   readonly paths: NodePaths
-  /** Whether the node takes requests. */
+  /** Whether the node accepts requests. */
   readonly isReady: () => boolean
-  /** Addresses for a caller; empty while none are known. */
+  /** Returns node addresses for a caller; empty while none are known. */
   readonly addresses: (caller: string) => readonly string[]
   readonly addressLifetime: Milliseconds
   readonly metricsText: () => string
 }
 
-/** Path of the metrics page, on the readiness address. */
+/** Path of the metrics endpoint, which is served beside the readiness endpoint. */
 export const METRICS_PATH = '/metrics'
 
 /**
- * One server that answers all service paths; a node listens with one for each address it serves.
+ * Creates a server that answers all service paths. A node listens with one server for each service address.
  *
  * @example
  * const server = createServicePaths({ paths, isReady, addresses, addressLifetime, metricsText })
@@ -30,9 +30,9 @@
   service.get(METRICS_PATH, (_request, response) => { response.send(metricsText(), 200, { 'content-type': 'text/plain; version=0.0.4' }) })
   service.get(paths.directory, (request, response) => {
     const { failureDomain = '' } = paths.readAddressQuery(request.query as Record<string, string>)
-    const known = addresses(`${request.socket.remoteAddress ?? ''}/${failureDomain}`)
-    if (known.length === 0) return response.send('', 503)
-    response.send(JSON.stringify(paths.writeAddresses(known, addressLifetime)), 200, { 'content-type': 'application/json' })
+    const nodeAddresses = addresses(`${request.socket.remoteAddress ?? ''}/${failureDomain}`)
+    if (nodeAddresses.length === 0) return response.send('', 503)
+    response.send(JSON.stringify(paths.writeAddresses(nodeAddresses, addressLifetime)), 200, { 'content-type': 'application/json' })
   })
   return service.getServer() as Server
 }
--- a/src/gateway/stopping-rule.ts
+++ b/src/gateway/stopping-rule.ts
@@ -1,42 +1,50 @@
-/** Which requests a stopping node still begins: those that can end before it is killed. */
+/** Decides which requests a stopping node still admits: those that are expected to finish before it is killed. */
 import type { Milliseconds } from '../clock.js'
 import { readingTime } from '../placement/index.js'
 import type { EngineSpeed } from '../placement/index.js'
 import type { Route } from '../routing/index.js'
 import type { RequestHead } from './ports.js'
 
-/** What decides. */
-export interface StopSituation {
+/** Times that determine which requests a stopping node admits. */
+export interface StopProgress {
   readonly now: Milliseconds
-  /** Time of the request to stop. */
+  /** Time at which the stop was requested. */
   readonly since: Milliseconds
-  /** Time at which what still runs is cut off. */
+  /** Time at which requests in progress are cut off. */
   readonly cutOff: Milliseconds
 }
 
-/** Callers that hold the address from an answer just before the stop come within this time; nobody may be turned away before. */
-const SERVED_FREELY: Milliseconds = 2_500
+/**
+ * Time after the stop request during which every request is admitted. Callers whose address list predates the stop
+ * arrive within this time and must not be refused.
+ */
+const UNRESTRICTED_ADMISSION: Milliseconds = 2_500
 
-/** Longest usual time of a token: a step of some 3 ms, stretched by the prompts that are read in between. */
-const PER_TOKEN: Milliseconds = 7
+/** Upper bound of the usual time per generated token: a decode step takes about 3 ms, lengthened by interleaved prefills. */
+const TIME_PER_TOKEN: Milliseconds = 7
 
-/** A prompt waits behind others for up to twice its own reading. */
-const READING_FACTOR = 3
+/**
+ * Multiple of the prefill time that is allowed for a prompt, which may wait behind others for up to twice its own
+ * prefill.
+ */
+const PREFILL_FACTOR = 3
 
-/** Usual time of an answer that isn't a stream, as a part of its target: what takes longer is one in a hundred. */
-const PLAIN_FACTOR = 3
+/** Multiple of the target that is allowed for an answer that is not a stream. One in a hundred takes longer. */
+const PLAIN_TARGET_FACTOR = 3
 
 /**
- * @param speed of the engines that would run it
+ * Whether a stopping node admits a request.
+ *
+ * @param speed of the engines that would run the request
  * @example
- * mayBegin({ now, since, cutOff }, route, head, speed) // false: a plan of three seconds, two before the kill
+ * mayAdmit({ now, since, cutOff }, route, head, speed) // false for a plan of 3 s, 2 s before the cut-off
  */
-export function mayBegin ({ now, since, cutOff }: StopSituation, route: Route, head: RequestHead, speed: EngineSpeed): boolean {
-  if (now - since < SERVED_FREELY) return true
+export function mayAdmit ({ now, since, cutOff }: StopProgress, route: Route, head: RequestHead, speed: EngineSpeed): boolean {
+  if (now - since < UNRESTRICTED_ADMISSION) return true
   return now + expectedTime(route, head, speed) < cutOff
 }
 
 function expectedTime (route: Route, { tokens }: RequestHead, speed: EngineSpeed): Milliseconds {
-  if (route.kind !== 'stream' || tokens === undefined) return route.target * PLAIN_FACTOR
-  return speed.base + readingTime(tokens.prompt, 0, speed) * READING_FACTOR + tokens.generated * PER_TOKEN
+  if (route.kind !== 'stream' || tokens === undefined) return route.target * PLAIN_TARGET_FACTOR
+  return speed.base + readingTime(tokens.prompt, 0, speed) * PREFILL_FACTOR + tokens.generated * TIME_PER_TOKEN
 }
--- a/src/gateway/stopping.ts
+++ b/src/gateway/stopping.ts
@@ -1,52 +1,56 @@
 /**
- * A planned stop: out of the address answers and not ready at once; callers that still hold the address are
- * served until they have asked anew; nothing is cut off that can end within the grace.
+ * Planned stop of a node. The node stops advertising its address and reports that it is not ready. It serves callers
+ * that still hold the address until they have refreshed it, and lets requests finish that can end within the grace
+ * period.
  */
 import type { Server } from 'node:http'
 import type { Clock, Milliseconds } from '../clock.js'
 import type { EventLog } from '../events/index.js'
 
-/** What a stop needs. */
+/** Options of {@link stopNode}. */
 export interface StopOptions {
   readonly clock: Clock
   readonly log: EventLog
   readonly server: Server
-  /** Time at which what still runs is cut off. */
+  /** Time at which requests in progress are cut off. */
   readonly cutOff: Milliseconds
   readonly inFlight: () => number
-  /** Takes the node out of the store's records. */
+  /** Removes the node's records from the store. */
   readonly withdraw: () => Promise<void>
 }
 
-/** Time before the kill at which what still runs is cut off, so that the process ends by itself. */
+/** Time before the kill at which requests in progress are cut off, so that the process can exit by itself. */
 export const STOP_MARGIN: Milliseconds = 400
 
-/** How long callers that hold an old address answer are served: its lifetime, and three times that for some. */
-const SERVE_ON: Milliseconds = 6_000
+/**
+ * Time during which callers with an outdated address list are served. An address list lives 2 s, and some callers keep
+ * it for three times that long.
+ */
+const STALE_ADDRESS_PERIOD: Milliseconds = 6_000
 
-const POLL: Milliseconds = 50
+const POLL_PERIOD: Milliseconds = 50
 
 /**
- * Waits until callers have left and requests have ended, at the latest until shortly before the kill.
+ * Waits until callers have left and requests have finished, but no longer than until the cut-off.
  *
- * Failure guarded against: the store is away and the withdrawal never returns; the stop doesn't wait for it.
+ * Failure guarded against: the store is unreachable and the withdrawal never completes. The stop does not wait for it.
  *
  * @example
  * await stopNode({ clock, log, server, cutOff, inFlight, withdraw })
  */
 export async function stopNode (options: StopOptions): Promise<void> {
   const { clock, log, server, cutOff, inFlight, withdraw } = options
-  const servedUntil = Math.min(cutOff, clock.now() + SERVE_ON)
+  const acceptUntil = Math.min(cutOff, clock.now() + STALE_ADDRESS_PERIOD)
   log.info('node-stopping', { inFlight: inFlight(), grace: Math.round(cutOff - clock.now()) })
   withdraw().catch((error) => log.warn('withdrawal-failed', { error: String(error) }))
-  while (clock.now() < servedUntil) {
+  while (clock.now() < acceptUntil) {
     server.closeIdleConnections()
-    await clock.sleep(POLL)
+    await clock.sleep(POLL_PERIOD)
   }
   server.close()
   while (clock.now() < cutOff && inFlight() > 0) {
     server.closeIdleConnections()
-    await clock.sleep(POLL)
+    await clock.sleep(POLL_PERIOD)
   }
   if (inFlight() > 0) log.warn('requests-cut-off', { inFlight: inFlight() })
 }
--- a/src/gateway/stream-relay.ts
+++ b/src/gateway/stream-relay.ts
@@ -1,42 +1,44 @@
-/** Passes an upstream's events on as they arrive, whole events only. */
+/** Relays an upstream's server-sent events as they arrive. Only complete events are relayed. */
 import type { ServerResponse } from 'node:http'
 import { writeSlowly } from '../caller/http.js'
-import { createEventCutter } from './event-stream.js'
+import { createEventSplitter } from './event-stream.js'
 import type { UpstreamAnswer } from './exchange.js'
 
-/** How far a relayed stream got over all its upstreams. */
+/** Progress of a relayed stream, summed over all upstreams that served it. */
 export interface StreamProgress {
-  /** Id of the last event that was passed on. */
+  /** Id of the last relayed event. */
   lastId: string | undefined
   events: number
 }
 
-/** How one upstream's part of a stream ended. */
+/** How the relay from one upstream ended. */
 export type RelayEnd =
   | { readonly kind: 'whole' }
-  /** The upstream's part broke off; what was passed on ends with a whole event. */
+  /** The upstream's stream was cut short. The relayed bytes end with a complete event. */
   | { readonly kind: 'broken', readonly reason: string }
 
 /**
- * @param progress is moved on with each event
- * @param arrived called before whole events are passed on, with their number
- * @param gone aborts when the caller has left or the time is up
+ * Relays events until the upstream's stream ends or fails. Never rejects.
+ *
+ * @param progress updated with each event
+ * @param onEvents called before complete events are written, with their number
+ * @param signal aborts when the caller has disconnected or the time limit is reached
  * @example
  * const end = await relayEvents(answer, response, progress, () => writeHead(answer), signal)
  */
-export async function relayEvents (answer: UpstreamAnswer, response: ServerResponse, progress: StreamProgress, arrived: (events: number) => void, gone: AbortSignal): Promise<RelayEnd> {
-  const cutter = createEventCutter()
+export async function relayEvents (answer: UpstreamAnswer, response: ServerResponse, progress: StreamProgress, onEvents: (events: number) => void, signal: AbortSignal): Promise<RelayEnd> {
+  const splitter = createEventSplitter()
   try {
-    for await (const piece of answer.body) {
-      const events = cutter.push(piece as Buffer)
+    for await (const chunk of answer.body) {
+      const events = splitter.push(chunk as Buffer)
       if (events.count === 0) continue
-      arrived(events.count)
+      onEvents(events.count)
       progress.events += events.count
       progress.lastId = events.lastId ?? progress.lastId
-      await writeSlowly(response, events.bytes, gone)
+      await writeSlowly(response, events.bytes, signal)
     }
   } catch (error) {
     return { kind: 'broken', reason: String((error as Error).message) }
   }
-  return cutter.isWhole() ? { kind: 'whole' } : { kind: 'broken', reason: 'the stream ended in the middle of an event' }
+  return splitter.isWhole() ? { kind: 'whole' } : { kind: 'broken', reason: 'the stream ended in the middle of an event' }
 }
--- a/src/gateway/upstream-watcher.ts
+++ b/src/gateway/upstream-watcher.ts
@@ -89,7 +89,7 @@
 
   /** Closes connections to incarnations that are no longer in the view. */
   function pruneConnections (): void {
-    connections.keep(new Set(view.all().map((record) => record.life)))
+    connections.closeExcept(new Set(view.all().map((record) => record.life)))
   }
 
   function remove (key: string, revision: number): void {
--- a/test/gateway/backpressure.test.ts
+++ b/test/gateway/backpressure.test.ts
@@ -1,4 +1,4 @@
-/** Upstreams that ask for less work in what they answer, in front of real nodes through the adapter and the platform's stand-ins. */
+/** Backpressure of upstreams against real nodes, through the platform adapter and the stand-ins. */
 import assert from 'node:assert/strict'
 import { after, before, beforeEach, describe, it } from 'node:test'
 import { request } from 'undici'
@@ -12,20 +12,20 @@
 
 const clock = createSystemClock()
 const HOST = 'api.example'
-const NODES = 9
+const NODE_COUNT = 9
 
-/** Time until the nodes keep to a limit that was named for the first time, and the window in which it counts from then on. */
-const HEARD_AFTER: Milliseconds = 3 * SECOND
+/** Time until all nodes respect a newly announced limit. */
+const LIMIT_PROPAGATION_TIME: Milliseconds = 3 * SECOND
 const WINDOW: Milliseconds = 4 * SECOND
 
-/** Requests that an upstream with a limit may get in a window. */
-const mostOf = (rateLimit: number): number => 1.5 * rateLimit * WINDOW / SECOND + 5
+/** Maximum number of requests that an upstream with a limit may receive in a window. */
+const maxRequestsAt = (rateLimit: number): number => 1.5 * rateLimit * WINDOW / SECOND + 5
 
-/** Time after which an upstream that says that it leaves gets nothing new. */
-const DRAIN: Milliseconds = 2 * SECOND
+/** Time after which an upstream that announced its departure receives no new requests. */
+const DEPARTURE_PROPAGATION_TIME: Milliseconds = 2 * SECOND
 
-/** Pause of the one caller of each node between two requests. */
-const PAUSE: Milliseconds = 50
+/** Pause between two requests of the single caller of each node. */
+const CALL_INTERVAL: Milliseconds = 50
 
 const configuration = {
   version: 1,
@@ -33,11 +33,11 @@
   services: [{ name: 'plain', maxConns: 500 }]
 }
 
-let ids = 0
+let lastId = 0
 
 async function ask (node: GatewayNode): Promise<{ readonly status: number, readonly retryAfter: number }> {
-  ids += 1
-  const { statusCode, headers, body } = await request(`http://${node.addresses.front}/lookup/x`, { headers: { host: HOST, 'x-hornbeamgap-request-id': `r${ids}`, 'x-hornbeamgap-deadline-ms': '2000' } })
+  lastId += 1
+  const { statusCode, headers, body } = await request(`http://${node.addresses.front}/lookup/x`, { headers: { host: HOST, 'x-hornbeamgap-request-id': `r${lastId}`, 'x-hornbeamgap-deadline-ms': '2000' } })
   await body.dump()
   return { status: statusCode, retryAfter: Number(headers['retry-after'] ?? Number.NaN) }
 }
@@ -46,7 +46,7 @@
   while (!(await condition())) await clock.sleep(20)
 }
 
-describe(`an upstream in front of ${NODES} nodes`, () => {
+describe(`an upstream behind ${NODE_COUNT} nodes`, () => {
   let deployment: MachineDeployment
   let nodes: GatewayNode[]
   let upstreams: UpstreamStandIn[]
@@ -59,10 +59,10 @@
     upstreams = await Promise.all(['p-1', 'p-2', 'p-3'].map((id) => serveUpstream({ id, clock })))
     deployment.configure(configuration)
     for (const upstream of upstreams) deployment.register(upstream)
-    nodes = await Promise.all(Array.from({ length: NODES }, (_, index) => deployment.startNode(`node-${index}`)))
+    nodes = await Promise.all(Array.from({ length: NODE_COUNT }, (_, index) => deployment.startNode(`node-${index}`)))
     traffic = new AbortController()
     callers = nodes.map(call)
-    await until(() => upstreams.every(({ runs }) => runs.length > NODES))
+    await until(() => upstreams.every(({ runs }) => runs.length > NODE_COUNT))
   })
 
   beforeEach(() => { arrivals = [] })
@@ -77,11 +77,11 @@
   async function call (node: GatewayNode): Promise<void> {
     while (!traffic.signal.aborted) {
       await ask(node)
-      await clock.sleep(PAUSE)
+      await clock.sleep(CALL_INTERVAL)
     }
   }
 
-  function limitsOf (node: string): readonly Record<string, unknown>[] {
+  function limitEventsOf (node: string): readonly Record<string, unknown>[] {
     return deployment.lines.filter((line) => line.process === node && line.event === 'upstream-limit')
   }
 
@@ -93,69 +93,67 @@
     })
   }
 
-  /** Most arrivals in a window. */
-  function mostArrivals (): number {
+  /** Returns the maximum number of arrivals in any window. */
+  function maxArrivalsInWindow (): number {
     return Math.max(0, ...arrivals.map((start) => arrivals.filter((at) => at >= start && at < start + WINDOW).length))
   }
 
-  // A user waits behind the queue of a server that had asked for mercy. It names a limit of one request a second in all that
-  // it answers and is registered as ready; nine nodes pass its answers on and go on sending, since placement went by the
-  // registry and by failures alone. Their lines 'request-sent' to it: 1, 1 and 2 in the seconds before the word, 4, 3, 5, 2, 2
-  // and 8 after it; 19 requests arrived in 4 s where 11 are allowed. None failed, and no line told of the limit.
-  it('gets no more from all nodes together than the limit that it names, and no less than it can take', async () => {
+  // Guards against nodes that ignore an announced limit: the answers of an upstream name a limit of one request a
+  // second, while its record is still ready. Nodes that choose upstreams by records and failures alone relay these
+  // answers and keep sending: 19 requests arrived within 4 s where 11 are allowed, and no log line named the limit.
+  it('receives requests from all nodes together up to its announced limit, but no more', async () => {
     const [limited] = upstreams
     limited!.announce({ 'server-limit': '1' })
-    await clock.sleep(HEARD_AFTER)
+    await clock.sleep(LIMIT_PROPAGATION_TIME)
     watchArrivals(limited!)
     await clock.sleep(2 * WINDOW)
-    assert.ok(mostArrivals() <= mostOf(1), `${mostArrivals()} requests in ${WINDOW} ms`)
-    assert.ok(arrivals.length > 0, 'it serves what it can take')
+    assert.ok(maxArrivalsInWindow() <= maxRequestsAt(1), `${maxArrivalsInWindow()} requests in ${WINDOW} ms`)
+    assert.ok(arrivals.length > 0, 'the upstream still receives requests')
   })
 
-  it('gets its part of all requests again once its answers name no limit any more', async () => {
+  it('receives its full share again once its answers announce no limit', async () => {
     const [limited, other] = upstreams
     limited!.announce({})
-    await until(() => nodes.every((_node, index) => limitsOf(`node-${index}`).at(-1)?.rate === undefined))
+    await until(() => nodes.every((_node, index) => limitEventsOf(`node-${index}`).at(-1)?.rate === undefined))
     watchArrivals(limited!)
     const before = other!.runs.length
-    await until(() => other!.runs.length >= before + 10 * NODES)
-    assert.ok(arrivals.length > NODES, `${arrivals.length} beside ${10 * NODES} of another`)
+    await until(() => other!.runs.length >= before + 10 * NODE_COUNT)
+    assert.ok(arrivals.length > NODE_COUNT, `${arrivals.length} requests, and another upstream received ${10 * NODE_COUNT} of another`)
   })
 
-  // A user waits for an answer that can't come in time, or is told to come back at once and is refused again: all upstreams
-  // of the service take two requests a second, and a hundred and more are asked for.
-  it('refuses at once what the limits of all leave over, and says when the next may come', async () => {
+  // Guards against callers that wait in vain or retry too early: every upstream of the service takes two requests a
+  // second, and more than a hundred are requested.
+  it('causes requests beyond the limits of all upstreams to be refused at once with a retry time', async () => {
     for (const upstream of upstreams) upstream.announce({ 'server-limit': '2' })
-    await until(() => nodes.every((_node, index) => new Set(limitsOf(`node-${index}`).filter(({ rate }) => rate === 2).map(({ upstream }) => upstream)).size === upstreams.length))
+    await until(() => nodes.every((_node, index) => new Set(limitEventsOf(`node-${index}`).filter(({ rate }) => rate === 2).map(({ upstream }) => upstream)).size === upstreams.length))
     const answers = (await Promise.all(Array.from({ length: 8 }, () => Promise.all(nodes.map(ask))))).flat()
     const refused = answers.filter(({ status }) => status === 503)
     assert.ok(refused.length >= answers.length / 2, `${refused.length} of ${answers.length} refused`)
-    assert.ok(refused.every(({ retryAfter }) => retryAfter >= 0.3 && retryAfter <= 3), 'six nodes take turns, which is one request of each in three seconds')
+    assert.ok(refused.every(({ retryAfter }) => retryAfter >= 0.3 && retryAfter <= 3), 'six nodes share the limits, which allows each one request in three seconds')
     for (const upstream of upstreams) upstream.announce({})
     await until(async () => (await Promise.all(nodes.map(ask))).every(({ status }) => status === 200))
   })
 
-  // A user's request is sent to a server that is about to go. The store is away and can't take the server's notice, so that its
-  // record stands as ready; its answers say that it leaves, are passed on, and nobody reads them. Seen with the store silent for
-  // 15 s ('store-lost' of all nine nodes, no 'upstream-leaving'): the notice came at 7.5 s, an answer told a node at 9.1 s, and
-  // that node sent two more questions at 12.8 s.
-  it('gets nothing new once its answers say that it leaves, though its record says otherwise', async () => {
+  // Guards against requests to a departing upstream whose record still says ready, because the store is unreachable and
+  // cannot take its notice. Only its answers announce the departure. A node that ignored them still sent two requests
+  // more than 3 s after such an answer.
+  it('receives no new requests once its answers announce its departure, even if its record does not', async () => {
     const [leaving, other] = upstreams
     leaving!.announce({ 'server-leaving': '1' })
-    const told = leaving!.runs.length
-    await until(() => leaving!.runs.length > told)
-    await clock.sleep(DRAIN)
+    const runsBefore = leaving!.runs.length
+    await until(() => leaving!.runs.length > runsBefore)
+    await clock.sleep(DEPARTURE_PROPAGATION_TIME)
     watchArrivals(leaving!)
-    // Its heartbeats go on, and so do answers that were begun before.
+    // The heartbeats continue, and so do answers that had already begun.
     leaving!.announce({})
     deployment.register(leaving!, { sequence: 2 })
     const before = other!.runs.length
-    await until(() => other!.runs.length >= before + 20 * NODES)
-    assert.equal(arrivals.length, 0, `${arrivals.length} requests after it said that it leaves`)
+    await until(() => other!.runs.length >= before + 20 * NODE_COUNT)
+    assert.equal(arrivals.length, 0, `${arrivals.length} requests after the announced departure`)
   })
 })
 
-describe('an upstream in front of one node', () => {
+describe('an upstream behind one node', () => {
   let deployment: MachineDeployment
   let node: GatewayNode
   let upstreams: UpstreamStandIn[]
@@ -176,10 +174,10 @@
 
   const askMany = (count: number): Promise<{ readonly status: number, readonly retryAfter: number }[]> => Promise.all(Array.from({ length: count }, () => ask(node)))
 
-  // A user's request is sent on and turned away, again and again, until the budget of repeats is used up and it is refused: an
-  // upstream says with a refusal that it wants nothing for 30 s, and the node, which takes each refusal for a full queue, asks it
-  // again 50 ms later ('send-not-run' with reason 'full', then 'repeat-refused').
-  it('gets nothing for the time that it named when it turned a request away', async () => {
+  // Guards against treating each refusal as a full queue: an upstream asks for a pause of 30 s, the node tries it again
+  // after 50 ms, and requests are refused once the retry budget is used up ('send-not-run' with reason 'full', then
+  // 'repeat-refused').
+  it('receives no requests during the pause that it asked for with a refusal', async () => {
     const [pausing] = upstreams
     let arrivals = 0
     pausing!.announce({ 'retry-after': '30' })
@@ -194,13 +192,13 @@
     await clock.sleep(SECOND / 2)
     arrivals = 0
     for (let round = 0; round < 10; round += 1) {
-      await clock.sleep(PAUSE)
+      await clock.sleep(CALL_INTERVAL)
       assert.ok((await askMany(12)).every(({ status }) => status === 200))
     }
-    assert.equal(arrivals, 0, `${arrivals} requests while it wanted none`)
+    assert.equal(arrivals, 0, `${arrivals} requests during the pause`)
   })
 
-  it('is named with its time to the caller where no other is left', async () => {
+  it('determines the retry time of the caller if no other upstream is available', async () => {
     const [, other] = upstreams
     other!.announce({ 'retry-after': '10' })
     other!.behave(() => 'full')
--- a/test/gateway/evacuation.test.ts
+++ b/test/gateway/evacuation.test.ts
@@ -1,4 +1,4 @@
-/** Moves of runs away from an upstream that is taken back, by a clock of the test's own. */
+/** Moves of runs away from a reclaimed upstream, on a manual clock. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { createEvacuation } from '../../src/gateway/evacuation.js'
@@ -9,16 +9,16 @@
 
 const LOG = { info: () => {}, warn: () => {}, error: () => {} }
 
-const upstream = (id: string, more: Partial<UpstreamRecord> = {}): UpstreamRecord => upstreamRecord(id, { address: `127.0.0.1:${id.length}`, reclaimable: true, ...more })
+const upstream = (id: string, overrides: Partial<UpstreamRecord> = {}): UpstreamRecord => upstreamRecord(id, { address: `127.0.0.1:${id.length}`, reclaimable: true, ...overrides })
 
 const SOURCE = upstream('source', { leavesIn: 2_500 })
 const TARGETS = [upstream('first'), upstream('second'), upstream('third')]
 
-function createWorld (answers: (MoveOutcome | Error)[], budget = 9) {
+function createFixture (answers: (MoveOutcome | Error)[], budget = 9) {
   const clock = createManualClock()
-  const ending = new AbortController()
+  const shutdown = new AbortController()
   const moves: { readonly at: number, readonly target: string }[] = []
-  let left = budget
+  let remainingBudget = budget
   const evacuation = createEvacuation({
     clock,
     log: LOG,
@@ -31,62 +31,62 @@
       }
     },
     chooseTarget: (_service, excluded) => TARGETS.find(({ life }) => !excluded.has(life)),
-    mayMove: () => left-- > 0,
-    signal: ending.signal
+    mayMove: () => remainingBudget-- > 0,
+    signal: shutdown.signal
   })
-  return { clock, evacuation, moves, ending }
+  return { clock, evacuation, moves, ending: shutdown }
 }
 
 describe('an evacuation', () => {
-  it('moves a run that is left shortly before its upstream goes, and none that has ended', async () => {
-    const { clock, evacuation, moves } = createWorld([{ kind: 'moved', reference: 'r' }])
+  it('moves a remaining run shortly before its upstream is reclaimed, but no run that has ended', async () => {
+    const { clock, evacuation, moves } = createFixture([{ kind: 'moved', reference: 'r' }])
     const long = evacuation.watch(SOURCE, 'long', new AbortController().signal)
     const short = evacuation.watch(SOURCE, 'short', new AbortController().signal)
     evacuation.leaving(SOURCE)
     await clock.advance(1_000)
-    assert.deepEqual([moves.length, await long.place()], [0, { kind: 'same' }])
+    assert.deepEqual([moves.length, await long.location()], [0, { kind: 'same' }])
     short.end()
     await clock.advance(1_500)
     assert.deepEqual(moves, [{ at: 1_600, target: 'first' }])
-    assert.deepEqual(await long.place(), { kind: 'moved', continuation: { upstream: TARGETS[0], reference: 'r' } })
+    assert.deepEqual(await long.location(), { kind: 'moved', continuation: { upstream: TARGETS[0], reference: 'r' } })
   })
 
-  it('tries a second target, and no third', async () => {
-    const { clock, evacuation, moves } = createWorld([])
+  it('tries at most two targets', async () => {
+    const { clock, evacuation, moves } = createFixture([])
     const run = evacuation.watch(SOURCE, 'r', new AbortController().signal)
     evacuation.leaving(SOURCE)
     await clock.advance(2_500)
-    assert.deepEqual([moves.map(({ target }) => target), await run.place()], [['first', 'second'], { kind: 'same' }])
+    assert.deepEqual([moves.map(({ target }) => target), await run.location()], [['first', 'second'], { kind: 'same' }])
   })
 
-  // A plan ends, as it seems, at the engine that was to give it away; the answer to the move was lost, and the
-  // other engine has the rest of it.
-  it('says that it does not know where a run is after a move without an answer, and asks nobody else', async () => {
-    const { clock, evacuation, moves } = createWorld([new Error('no answer')])
+  // Guards against a truncated plan that looks complete: the answer to the move order is lost, the stream ends at the
+  // source, and the rest of the plan is at another engine.
+  it('reports an unknown location after an unanswered move, and tries no other target', async () => {
+    const { clock, evacuation, moves } = createFixture([new Error('no answer')])
     const run = evacuation.watch(SOURCE, 'r', new AbortController().signal)
     evacuation.leaving(SOURCE)
     await clock.advance(2_500)
-    assert.deepEqual([moves.length, await run.place()], [1, { kind: 'unknown' }])
+    assert.deepEqual([moves.length, await run.location()], [1, { kind: 'unknown' }])
   })
 
-  it('leaves a run alone that has ended or not begun, that the budget does not cover, or whose upstream stays', async () => {
-    const ended = createWorld([{ kind: 'no-run' }])
+  it('does not move a run that is over, exceeds the budget or has an upstream that is not reclaimed', async () => {
+    const ended = createFixture([{ kind: 'no-run' }])
     const run = ended.evacuation.watch(SOURCE, 'r', new AbortController().signal)
     ended.evacuation.leaving(SOURCE)
     await ended.clock.advance(2_500)
-    assert.deepEqual([ended.moves.length, await run.place()], [1, { kind: 'same' }])
+    assert.deepEqual([ended.moves.length, await run.location()], [1, { kind: 'same' }])
 
-    const spent = createWorld([{ kind: 'moved', reference: 'r' }], 0)
-    spent.evacuation.watch(SOURCE, 'r', new AbortController().signal)
-    spent.evacuation.leaving(SOURCE)
-    await spent.clock.advance(2_500)
-    assert.equal(spent.moves.length, 0)
+    const budgetUsed = createFixture([{ kind: 'moved', reference: 'r' }], 0)
+    budgetUsed.evacuation.watch(SOURCE, 'r', new AbortController().signal)
+    budgetUsed.evacuation.leaving(SOURCE)
+    await budgetUsed.clock.advance(2_500)
+    assert.equal(budgetUsed.moves.length, 0)
 
-    const released = createWorld([{ kind: 'moved', reference: 'r' }])
-    const lasting = upstream('source', { reclaimable: false })
-    released.evacuation.watch(lasting, 'r', new AbortController().signal)
-    released.evacuation.leaving(lasting)
-    await released.clock.advance(10_000)
-    assert.equal(released.moves.length, 0, 'an upstream that is replaced lets its runs end')
+    const notReclaimed = createFixture([{ kind: 'moved', reference: 'r' }])
+    const lastingUpstream = upstream('source', { reclaimable: false })
+    notReclaimed.evacuation.watch(lastingUpstream, 'r', new AbortController().signal)
+    notReclaimed.evacuation.leaving(lastingUpstream)
+    await notReclaimed.clock.advance(10_000)
+    assert.equal(notReclaimed.moves.length, 0, 'an upstream that is not reclaimable lets its runs finish')
   })
 })
--- a/test/gateway/exchange.test.ts
+++ b/test/gateway/exchange.test.ts
@@ -10,13 +10,12 @@
 import { upstreamRecord } from '../placement/records.js'
 
 describe('an exchange with an upstream', () => {
-  const closing: (() => Promise<unknown>)[] = []
-  afterEach(async () => { for (const close of closing.splice(0)) await close() })
+  const cleanups: (() => Promise<unknown>)[] = []
+  afterEach(async () => { for (const close of cleanups.splice(0)) await close() })
 
-  // A caller gets the first half of a booking's confirmation as a complete answer: the upstream sends no
-  // length, so that the end of the connection ends the answer, and then its process dies, which ends the
-  // connection as well, by a reset or in the same way as one that has said everything.
-  it('takes no answer without a length, whether its connection ends or is reset', async () => {
+  // Guards against a truncated answer that looks complete: the upstream sends no length, so the end of the connection
+  // ends the answer. Its process then dies, which resets the connection or closes it as after a complete answer.
+  it('rejects an answer without a length, whether its connection is closed or reset', async () => {
     const head = 'HTTP/1.1 200 OK\r\nX-Hornbeamgap-Request-Id: r1\r\nConnection: close\r\n\r\nhalf'
     const reset = await exchangeWith((socket) => {
       socket.write(head)
@@ -27,26 +26,27 @@
     assert.equal(ended.kind, 'broken')
   })
 
-  it('passes an answer on that ends where its length says, and none that ends before', async () => {
+  it('accepts an answer of the announced length, and fails if it ends early', async () => {
     const whole = await exchangeWith((socket) => { socket.end('HTTP/1.1 200 OK\r\nX-Hornbeamgap-Request-Id: r1\r\nContent-Length: 5\r\n\r\nwhole') })
     assert.equal(await bodyOf(whole), 'whole')
-    const torn = await exchangeWith((socket) => { socket.end('HTTP/1.1 200 OK\r\nX-Hornbeamgap-Request-Id: r1\r\nContent-Length: 5\r\n\r\nwho') })
-    await assert.rejects(bodyOf(torn))
+    const truncated = await exchangeWith((socket) => { socket.end('HTTP/1.1 200 OK\r\nX-Hornbeamgap-Request-Id: r1\r\nContent-Length: 5\r\n\r\nwho') })
+    await assert.rejects(bodyOf(truncated))
     const chunks = await exchangeWith((socket) => { socket.end('HTTP/1.1 200 OK\r\nX-Hornbeamgap-Request-Id: r1\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n') })
     await assert.rejects(bodyOf(chunks))
   })
 
-  // Two vans arrive: the upstream answers a request twice, the second copy is read as the answer to the
-  // next booking on the connection, which is told as not run and sent again.
-  it('takes an answer that names another request for none, whatever it claims', async () => {
+  // Guards against running a booking twice: the upstream answers one request twice, the second copy is read as the
+  // answer to the next request on the connection, and that request is treated as not run and is sent again.
+  it('treats an answer with the id of another request as broken, whatever its status', async () => {
     const result = await exchangeWith((socket) => {
       socket.write('HTTP/1.1 503 Service Unavailable\r\nX-Hornbeamgap-Request-Id: other\r\nX-Hornbeamgap-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n')
     })
     assert.equal(result.kind, 'broken')
   })
 
-  // An upstream that has crashed is taken for one that leaves: its address is another's by now, which does.
-  it('hears what an answer says of its upstream, and not what another one says at its address', async () => {
+  // Guards against taking a crashed upstream for a leaving one: its address now belongs to another upstream that is
+  // leaving.
+  it('reports the signals of its upstream, but not those of another upstream at the same address', async () => {
     const heard: UpstreamSignals[] = []
     const leaving = { leaving: true, rateLimit: 2, retryAfter: undefined }
     const head = 'X-Hornbeamgap-Request-Id: r1\r\nServer-Leaving: 1\r\nServer-Limit: 2\r\nContent-Length: 0\r\n\r\n'
@@ -57,7 +57,7 @@
     assert.deepEqual(heard, [leaving])
   })
 
-  it('tells a request as not run where no connection came about or the upstream says so', async () => {
+  it('reports a request as not run if no connection was opened or the upstream says so', async () => {
     const refused = await exchangeWith((socket) => {
       socket.write('HTTP/1.1 503 Service Unavailable\r\nX-Hornbeamgap-Request-Id: r1\r\nX-Hornbeamgap-Not-Executed: 1\r\nContent-Length: 0\r\n\r\n')
     })
@@ -69,25 +69,25 @@
     assert.deepEqual(await start(port), { kind: 'not-run', reason: 'unreachable' })
   })
 
-  it('says of a connection that is closed without an answer that the request may have run', async () => {
+  it('reports that a request may have run if the connection is closed without an answer', async () => {
     const result = await exchangeWith((socket) => { socket.end() })
     assert.equal(result.kind, 'broken')
   })
 
-  /** Sends one request to a server that answers its first bytes as told. */
+  /** Sends one request to a server that calls `answer` when the first bytes arrive. */
   async function exchangeWith (answer: (socket: Socket) => void, heard: UpstreamSignals[] = []): Promise<ExchangeStart> {
     const server = createServer((socket) => {
       socket.on('error', () => {})
       socket.once('data', () => answer(socket))
     })
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
-    closing.push(() => new Promise((resolve) => server.close(resolve)))
+    cleanups.push(() => new Promise((resolve) => server.close(resolve)))
     return start((server.address() as AddressInfo).port, heard)
   }
 
   function start (port: number, heard: UpstreamSignals[] = []): Promise<ExchangeStart> {
     const connections = createUpstreamConnections(createRequestFormat(), createSystemClock(), () => {}, (_upstream, signals) => { heard.push(signals) })
-    closing.unshift(() => connections.close())
+    cleanups.unshift(() => connections.close())
     const upstream = upstreamRecord('i-1', { address: `127.0.0.1:${port}`, slots: 1 })
     return connections.start(upstream, { id: 'r1', method: 'GET', path: '/', headers: ['x-hornbeamgap-request-id', 'r1'], body: undefined }, new AbortController().signal)
   }
--- a/test/gateway/upstream-watcher.test.ts
+++ b/test/gateway/upstream-watcher.test.ts
@@ -52,7 +52,7 @@
   function followUpstreams (): void {
     const note = (event: string): void => { lines.push(event) }
     const context = { store: createStore(connections, () => server.address), clock, random: createRandom(2), log: { info: note, warn: note, error: note }, signal: shutdown.signal }
-    const noConnections = { start: async () => ({ kind: 'broken' as const, reason: '' }), keep: () => {}, open: () => 0, limit: () => {}, close: async () => {} }
+    const noConnections = { start: async () => ({ kind: 'broken' as const, reason: '' }), closeExcept: () => {}, open: () => 0, setConnectionLimit: () => {}, close: async () => {} }
     watchUpstreams(context, createRegistry(), view, noConnections, 50, ({ id }) => { leavingIds.push(id) })
   }
 
@@ -118,7 +118,7 @@
     const shutdown = new AbortController()
     const store = createDirectKeyValue(keys, createFaultSwitch(clock, random), clock)
     const view = createUpstreamView()
-    const noConnections = { start: async () => ({ kind: 'broken' as const, reason: '' }), keep: () => {}, open: () => 0, limit: () => {}, close: async () => {} }
+    const noConnections = { start: async () => ({ kind: 'broken' as const, reason: '' }), closeExcept: () => {}, open: () => 0, setConnectionLimit: () => {}, close: async () => {} }
     watchUpstreams({ store, clock, random, log: { info: () => {}, warn: () => {}, error: () => {} }, signal: shutdown.signal }, createRegistry(), view, noConnections, 2_000, () => {})
     return {
       keys,
