--- a/bench/partial-view.ts
+++ b/bench/partial-view.ts
@@ -1,7 +1,7 @@
 /** How many of a large service's upstreams each node should use. */
 import { createScheduler } from '../src/admission/index.js'
 import { SECOND } from '../src/clock.js'
-import { sharingNodes, viewSize } from '../src/upstream/index.js'
+import { nodesPerUpstream, viewSize } from '../src/upstream/index.js'
 import { percent, rounded } from './scheduling/format.js'
 import { shareOf, tokenGoodput } from './scheduling/measures.js'
 import { calcaria } from './scheduling/mixes.js'
@@ -40,7 +40,7 @@
       createPolicy: (random, node) => createScheduler({ random, node, largestView: view })
     })
     const shares = [short, long].map((classMix) => percent(shareOf(measures, classMix?.name, 'in-target')))
-    return [load, view === chosen ? `${view} (chosen)` : view, rounded(sharingNodes(NODES, view, ENGINES)), rounded(tokenGoodput(measures), 0), ...shares, percent(measures.computedTokens / measures.promptTokens)]
+    return [load, view === chosen ? `${view} (chosen)` : view, rounded(nodesPerUpstream(NODES, view, ENGINES)), rounded(tokenGoodput(measures), 0), ...shares, percent(measures.computedTokens / measures.promptTokens)]
   }))
   return {
     title: `${mix.name}: ${NODES} nodes, ${ENGINES} engines`,
--- a/bench/reclaim-mix.ts
+++ b/bench/reclaim-mix.ts
@@ -96,7 +96,7 @@
       failureDomain: failureDomainSchema.parse(`zone-${index % mix.domains}`),
       leaving: false,
       freeCacheTokens: (mix.batch - mix.running) * 24_000,
-      freePlaces: mix.batch - mix.running,
+      freeSlots: mix.batch - mix.running,
       prefillRate: PREFILL_RATE,
       tokenTime: TOKEN_TIME,
       importRate: BELIEVED_RATE
--- a/bench/reclaim-notices.ts
+++ b/bench/reclaim-notices.ts
@@ -7,8 +7,8 @@
 import { addressSchema, failureDomainSchema, incarnationSchema, instanceNameSchema } from '../src/identifiers.js'
 import { createRandom } from '../src/random.js'
 import type { Random } from '../src/random.js'
-import { createLeavingView, fromMessage, pollersOf, recipientsOf } from '../src/upstream/reclaim/index.js'
-import type { LeavingView, Notice, NoticeMessage, SpreadNode } from '../src/upstream/reclaim/index.js'
+import { createLeavingView, noticeFromMessage, pollersOf, noticeRecipients } from '../src/upstream/reclaim/index.js'
+import type { LeavingView, Notice, NoticeMessage, NoticeNode } from '../src/upstream/reclaim/index.js'
 import { createEventQueue } from './scheduling/event-queue.js'
 import type { Bench, Table } from './table.js'
 
@@ -84,7 +84,7 @@
   ]
 }
 
-function createNodes (size: number): readonly SpreadNode[] {
+function createNodes (size: number): readonly NoticeNode[] {
   return Array.from({ length: size }, (_, index) => ({
     incarnation: incarnationSchema.parse(`entry-${index}-0123456789ab`),
     failureDomain: failureDomainSchema.parse(`zone-${index % domainsOf(size)}`),
@@ -93,30 +93,30 @@
 }
 
 /** One reclaim at time 0; every asker's questions fall at a time of its own. */
-function spread (nodes: readonly SpreadNode[], fault: Fault, leaving: number, random: Random): Outcome {
+function spread (nodes: readonly NoticeNode[], fault: Fault, leaving: number, random: Random): Outcome {
   const queue = createEventQueue()
-  const views = new Map<SpreadNode, LeavingView>(nodes.map((node) => [node, createLeavingView()]))
+  const views = new Map<NoticeNode, LeavingView>(nodes.map((node) => [node, createLeavingView()]))
   const dead = new Set(fault === 'two askers of each domain dead' ? nodes.flatMap((node) => pollersOf(nodes, node.failureDomain).slice(0, 2)) : [])
-  const toldAt = new Map<SpreadNode, Milliseconds>()
-  const sent = new Map<SpreadNode, number>()
+  const toldAt = new Map<NoticeNode, Milliseconds>()
+  const sent = new Map<NoticeNode, number>()
   let messages = 0
 
-  function take (node: SpreadNode, notices: readonly Notice[], from: SpreadNode | undefined): void {
+  function take (node: NoticeNode, notices: readonly Notice[], from: NoticeNode | undefined): void {
     const now = queue.now()
     const view = views.get(node) as LeavingView
     const fresh = notices.filter((notice) => view.notice(notice, now))
     if (view.all().length >= leaving && !toldAt.has(node)) toldAt.set(node, now)
     if (fresh.length === 0) return
     const message = view.messages(now)
-    for (const recipient of recipientsOf(node, from?.incarnation, nodes)) send(node, recipient, message)
+    for (const recipient of noticeRecipients(node, from?.incarnation, nodes)) send(node, recipient, message)
   }
 
-  function send (from: SpreadNode, to: SpreadNode, message: readonly NoticeMessage[]): void {
+  function send (from: NoticeNode, to: NoticeNode, message: readonly NoticeMessage[]): void {
     messages += 1
     sent.set(from, (sent.get(from) ?? 0) + JSON.stringify({ from: from.incarnation, notices: message }).length)
     const lost = fault === '5 % of messages lost' && random.integer(20) === 0
     const delay = distance(from, to) + (lost ? RESEND : 0)
-    if (!dead.has(to)) queue.at(queue.now() + delay, () => take(to, message.map((one) => fromMessage(one, queue.now())), from))
+    if (!dead.has(to)) queue.at(queue.now() + delay, () => take(to, message.map((one) => noticeFromMessage(one, queue.now())), from))
   }
 
   for (const domain of new Set(nodes.map((node) => node.failureDomain))) {
@@ -136,8 +136,8 @@
   }
 }
 
-function distance (from: SpreadNode, to: SpreadNode): Milliseconds {
-  const region = (node: SpreadNode): number => Number(node.failureDomain.slice(-1)) % 2
+function distance (from: NoticeNode, to: NoticeNode): Milliseconds {
+  const region = (node: NoticeNode): number => Number(node.failureDomain.slice(-1)) % 2
   return region(from) === region(to) ? NEAR : FAR
 }
 
--- a/bench/reclaim-run.ts
+++ b/bench/reclaim-run.ts
@@ -1,8 +1,8 @@
 /** Carries a policy out against what really happens: true rates, lengths and deadlines. */
 import type { Milliseconds } from '../src/clock.js'
 import type { RequestId, UpstreamName } from '../src/identifiers.js'
-import { createLinkEstimate, createLinkTurns, planReclaim } from '../src/upstream/reclaim/index.js'
-import type { ReclaimSituation, TurnDecision } from '../src/upstream/reclaim/index.js'
+import { createLinkEstimate, createExportQueue, planReclaim } from '../src/upstream/reclaim/index.js'
+import type { ReclaimSituation, ExportDecision } from '../src/upstream/reclaim/index.js'
 import { BELIEVED_RATE, PREFILL_RATE } from './reclaim-mix.js'
 import type { EngineState, HiddenStream } from './reclaim-mix.js'
 
@@ -61,7 +61,7 @@
  * runReclaim(reclaim, 'plan').recomputed
  */
 export function runReclaim (reclaim: ReclaimCase, policy: Policy): ReclaimResult {
-  const hosts = new Map<UpstreamName, Host>(reclaim.staying.map((engine) => [engine.name, { engine, places: engine.target.freePlaces, prefillFreeAt: 0 }]))
+  const hosts = new Map<UpstreamName, Host>(reclaim.staying.map((engine) => [engine.name, { engine, places: engine.target.freeSlots, prefillFreeAt: 0 }]))
   const total = { recomputed: 0, late: 0, streams: 0 }
   const engines = reclaim.leaving.map((engine) => createLeaving(reclaim, engine, policy))
 
@@ -115,7 +115,7 @@
   const byId = new Map<RequestId, Running>(streams.map((stream) => [stream.hidden.open.id, stream]))
   const situation = reclaim.situations.get(engine.name) as ReclaimSituation
   const estimate = createLinkEstimate()
-  const turns = createLinkTurns(estimate, situation.deadline)
+  const turns = createExportQueue(estimate, situation.deadline)
   /** Exports that run one after the other; several queues share the link. */
   const queues: Running[][] = Array.from({ length: NODES }, () => [])
   const current: (Running | undefined)[] = []
@@ -153,11 +153,11 @@
       stream.target = plan.target
       stream.mayFinish = plan.otherwise === 'finish'
       if (policy !== 'plan') queues[node]?.push(stream)
-      else decide(turns.ask({ id: plan.id, tokens: stream.hidden.open.cachedTokens, rank: plan.startAfter, required: false }, now), now, settle)
+      else decide(turns.enqueue({ id: plan.id, tokens: stream.hidden.open.cachedTokens, rank: plan.startAfter, required: false }, now), now, settle)
     }
   }
 
-  function decide (decisions: readonly TurnDecision[], now: Milliseconds, settle: Settle): void {
+  function decide (decisions: readonly ExportDecision[], now: Milliseconds, settle: Settle): void {
     for (const { id, kind } of decisions) {
       const stream = byId.get(id) as Running
       if (kind === 'go' && stream.state === 'open') startExport(stream, stream.target as UpstreamName)
--- a/bench/reclaim.ts
+++ b/bench/reclaim.ts
@@ -3,7 +3,7 @@
 import { SECOND } from '../src/clock.js'
 import { createRandom } from '../src/random.js'
 import type { Random } from '../src/random.js'
-import { domainsInWave, orderExports } from '../src/upstream/reclaim/index.js'
+import { reclaimedDomains, orderExports } from '../src/upstream/reclaim/index.js'
 import type { ExportCandidate, ExportOrder, ReclaimSituation } from '../src/upstream/reclaim/index.js'
 import { BELIEVED_RATE, CALCARIA, createEngines, TSUBAME } from './reclaim-mix.js'
 import type { ReclaimMix } from './reclaim-mix.js'
@@ -77,7 +77,7 @@
     streams: engine.streams.map((stream) => stream.open),
     targets,
     leaving: names,
-    leavingDomains: domainsInWave(targets),
+    leavingDomains: reclaimedDomains(targets),
     recomputedPerThousandTokens: mix.recomputedPerThousandTokens
   })
   return {
@@ -130,7 +130,7 @@
   return streams.map(({ open }) => ({
     id: open.id,
     tokens: open.cachedTokens,
-    saved: open.cachedTokens - Math.max(0, ...open.prefixHits.map((hit) => hit.tokens)),
+    savedTokens: open.cachedTokens - Math.max(0, ...open.prefixHits.map((hit) => hit.tokens)),
     duration: BELIEVED_LINK.setup + open.cachedTokens / BELIEVED_LINK.rate,
     required: false,
     slack: open.slack
@@ -143,7 +143,7 @@
   for (const candidate of ordered) {
     if (candidate.duration > left) continue
     left -= candidate.duration
-    saved += candidate.saved
+    saved += candidate.savedTokens
   }
   return saved
 }
@@ -156,7 +156,7 @@
     candidates.forEach((candidate, index) => {
       if ((subset & (1 << index)) === 0) return
       duration += candidate.duration
-      saved += candidate.saved
+      saved += candidate.savedTokens
     })
     if (duration <= available) best = Math.max(best, saved)
   }
--- a/src/admission/class-state.ts
+++ b/src/admission/class-state.ts
@@ -3,14 +3,14 @@
 import { SECOND } from '../clock.js'
 import type { RequestClass, Target } from '../configuration/index.js'
 import { createQuantileEstimate } from '../upstream/index.js'
-import type { Demand, ExpectedAnswer } from '../upstream/index.js'
+import type { AttemptDemand, ExpectedAnswer } from '../upstream/index.js'
 import type { PendingAttempt } from './types.js'
 
 /** One class as the scheduler sees it. */
 export interface ClassState {
   readonly requestClass: RequestClass
   /** What an attempt is expected to ask of an upstream. */
-  demandOf (attempt: PendingAttempt): Demand
+  demandOf (attempt: PendingAttempt): AttemptDemand
   /** Longest time that an attempt may wait for its dispatch and still be likely to meet the target. */
   patience (expected: ExpectedAnswer): Milliseconds
   /** Whether an answer that ends now meets the targets of its first token and its whole. */
@@ -69,7 +69,7 @@
       excluded: attempt.excluded,
       apart: attempt.apart,
       urgent: urgent || attempt.accepted,
-      wholeTarget: target.whole_answer_ms,
+      wholeAnswerTarget: target.whole_answer_ms,
       probe: requestClass.idempotent && !attempt.accepted && !attempt.apart,
       accepted: attempt.accepted
     }),
--- a/src/admission/scheduler.ts
+++ b/src/admission/scheduler.ts
@@ -7,7 +7,7 @@
 import type { Configuration } from '../configuration/index.js'
 import type { ClassName, RequestId, ServiceName, UpstreamName } from '../identifiers.js'
 import type { Random } from '../random.js'
-import { partialView, sharingNodes, viewSize } from '../upstream/index.js'
+import { partialView, nodesPerUpstream, viewSize } from '../upstream/index.js'
 import type { UpstreamView } from '../upstream/index.js'
 import { createClassState } from './class-state.js'
 import type { ClassState } from './class-state.js'
@@ -65,7 +65,7 @@
   function updateService (service: ServiceScheduler, views: readonly UpstreamView[], now: Milliseconds): void {
     const used = options.node === undefined ? views : partialView(options.node, views, options.largestView ?? viewSize(nodes, views.length))
     service.fleet.update(used, now)
-    service.fleet.shared(sharingNodes(nodes, used.length, views.length))
+    service.fleet.setSharingNodes(nodesPerUpstream(nodes, used.length, views.length))
   }
 
   function arrived (attempt: PendingAttempt, now: Milliseconds): SchedulerEffect[] {
--- a/src/admission/service-scheduler.ts
+++ b/src/admission/service-scheduler.ts
@@ -4,7 +4,7 @@
 import type { RequestId } from '../identifiers.js'
 import type { Random } from '../random.js'
 import { createServiceFleet } from '../upstream/index.js'
-import type { Demand, Placement, ServiceFleet, Usage } from '../upstream/index.js'
+import type { AttemptDemand, Placement, ServiceFleet, Usage } from '../upstream/index.js'
 import type { ClassState } from './class-state.js'
 import { createDecayedRate } from './decayed-rate.js'
 import { createFairShare } from './fair-share.js'
@@ -30,7 +30,7 @@
 interface RunningAttempt {
   readonly attempt: PendingAttempt
   readonly classState: ClassState
-  readonly demand: Demand
+  readonly demand: AttemptDemand
   readonly placement: Placement
   readonly sentAt: Milliseconds
   /** Without a first token by then, the attempt counts against its upstream. */
@@ -128,7 +128,7 @@
   function refuse (entry: WaitingAttempt, code: RefusalCode, now: Milliseconds): SchedulerEffect {
     const { attempt } = entry
     waiting.remove(attempt.id)
-    if (attempt.apart) fleet.stopEmptying()
+    if (attempt.apart) fleet.cancelIsolation()
     shares.returned(attempt.organisation, attempt.class, entry.work, now)
     entry.classState.refused()
     if (entry.demand.urgent) places.answered(false, entry.classState.requestClass.target.quantile)
@@ -205,7 +205,7 @@
     for (const [id, started] of unstarted) {
       if (now < started.stalledAt) continue
       unstarted.delete(id)
-      fleet.struck(started.placement.upstream, now)
+      fleet.stalled(started.placement.upstream, now)
     }
   }
 
@@ -213,10 +213,10 @@
     const { attempt, classState, demand, placement } = started
     const { target } = classState.requestClass
     const startedAt = started.firstTokenAt ?? now
-    fleet.observed(placement, demand, usage, startedAt - started.sentAt, now - started.sentAt, now)
+    fleet.answerObserved(placement, demand, usage, startedAt - started.sentAt, now - started.sentAt, now)
     if (demand.urgent) places.answered(classState.inTime(attempt, started.firstTokenAt, now), target.quantile)
     if (target.between_tokens_ms !== undefined && usage.completion_tokens > 1) {
-      fleet.paced((now - startedAt) / (usage.completion_tokens - 1) <= target.between_tokens_ms, target.quantile)
+      fleet.tokenTimeObserved((now - startedAt) / (usage.completion_tokens - 1) <= target.between_tokens_ms, target.quantile)
     }
     if (attempt.tokensSoFar === 0) classState.answered(attempt.maxTokens, usage.completion_tokens)
   }
@@ -239,7 +239,7 @@
       fleet.firstToken(started.placement)
     },
     ended: (id, result, now) => {
-      if (waiting.remove(id)?.demand.apart) fleet.stopEmptying()
+      if (waiting.remove(id)?.demand.apart) fleet.cancelIsolation()
       const started = running.get(id)
       if (started !== undefined) finish(started, result, now)
       return advance(now)
@@ -284,7 +284,7 @@
 const SPECIAL = -1
 
 /** Attempts of one kind have room at the same upstreams. */
-function kindOf (demand: Demand): number {
+function kindOf (demand: AttemptDemand): number {
   if (demand.apart || demand.adapter !== undefined || demand.excluded.length > 0) return SPECIAL
   return (demand.urgent ? 1 : 0) + (demand.probe ? 2 : 0)
 }
--- a/src/admission/waiting.ts
+++ b/src/admission/waiting.ts
@@ -1,7 +1,7 @@
 /** Attempts of one service that wait at a node, in the order in which they are to be dispatched. */
 import type { Milliseconds } from '../clock.js'
 import type { ClassName, OrganisationName, RequestId } from '../identifiers.js'
-import type { Demand } from '../upstream/index.js'
+import type { AttemptDemand } from '../upstream/index.js'
 import type { ClassState } from './class-state.js'
 import type { PendingAttempt } from './types.js'
 
@@ -9,7 +9,7 @@
 export interface WaitingAttempt {
   readonly attempt: PendingAttempt
   readonly classState: ClassState
-  readonly demand: Demand
+  readonly demand: AttemptDemand
   /** Expected work, in milliseconds of one upstream. */
   readonly work: number
   /** Latest dispatch that is likely to meet the target. */
--- a/src/entry/notice-keeper.ts
+++ b/src/entry/notice-keeper.ts
@@ -15,8 +15,8 @@
 import type { Cloud } from '../protocols/cloud.js'
 import { repeat } from '../repeat.js'
 import type { Instance, UpstreamView } from '../upstream/index.js'
-import { createLeavingView, fromMessage, pollersOf, recipientsOf } from '../upstream/reclaim/index.js'
-import type { Leaving, LeavingView, Notice, NoticeMessage, NoticeSource } from '../upstream/reclaim/index.js'
+import { createLeavingView, noticeFromMessage, pollersOf, noticeRecipients } from '../upstream/reclaim/index.js'
+import type { LeavingInstance, LeavingView, Notice, NoticeMessage, NoticeSource } from '../upstream/reclaim/index.js'
 import type { ServingError } from '../verdict.js'
 import type { NoticeSource as DirectorySource, UpstreamDirectory } from './upstream-directory.js'
 
@@ -100,7 +100,7 @@
     }
   }
 
-  function tell (instance: Instance, found: Leaving): void {
+  function tell (instance: Instance, found: LeavingInstance): void {
     const key = `${instance.name}@${instance.address}`
     if (instance.name === options.own().instance) return tellOwn(key, found)
     if (instance.role.kind !== 'upstream') return
@@ -110,14 +110,14 @@
     events.emit('leaving', { view, deadline: found.deadline }).catch(() => {})
   }
 
-  function isNews (key: string, found: Leaving): boolean {
+  function isNews (key: string, found: LeavingInstance): boolean {
     const before = told.get(key)
     told.set(key, found.deadline)
     return before === undefined || Math.abs(before - found.deadline) >= NOTABLE_CHANGE
   }
 
   /** The instance list tells no deadline; the cloud, which does, is asked first by whoever it concerns. */
-  function tellOwn (key: string, found: Leaving): void {
+  function tellOwn (key: string, found: LeavingInstance): void {
     if (!found.announced && !askedForOwn) {
       askedForOwn = true
       takeFromCloud().catch(() => {}).finally(apply)
@@ -179,7 +179,7 @@
     handlers: {
       notices: (message) => {
         const now = clock.now()
-        take(message.notices.map((notice) => fromMessage(notice, now)), message.from)
+        take(message.notices.map((notice) => noticeFromMessage(notice, now)), message.from)
       }
     }
   }
@@ -205,7 +205,7 @@
 function passOn (options: NoticeOptions, notices: readonly NoticeMessage[], from: Incarnation | undefined): void {
   const own = options.own()
   const message: NoticesMessage = { from: own.incarnation, notices: [...notices] }
-  for (const node of recipientsOf(own, from, options.nodes())) {
+  for (const node of noticeRecipients(own, from, options.nodes())) {
     send(options, options.peers, node, message)
       .catch(() => send(options, options.freshPeers, node, message))
       .catch((error) => { if (!options.signal.aborted) options.log.warn('notice-not-delivered', { to: node.incarnation, error: String(error) }) })
--- a/src/entry/reclaim-coordinator.ts
+++ b/src/entry/reclaim-coordinator.ts
@@ -12,8 +12,8 @@
 import { createEngine } from '../protocols/engine.js'
 import type { Connections } from '../protocols/http.js'
 import type { LoadReport, UpstreamView } from '../upstream/index.js'
-import { createLinkEstimate, createLinkTurns, domainsInWave, planReclaim } from '../upstream/reclaim/index.js'
-import type { ExportLink, LinkTurns, ReclaimSituation, ReclaimTarget, StreamPlan, TurnDecision } from '../upstream/reclaim/index.js'
+import { createLinkEstimate, createExportQueue, reclaimedDomains, planReclaim } from '../upstream/reclaim/index.js'
+import type { ExportLink, ExportQueue, ReclaimSituation, ReclaimTarget, StreamPlan, ExportDecision } from '../upstream/reclaim/index.js'
 import type { UpstreamDirectory } from './upstream-directory.js'
 
 /** Plans of one node for itself and others. */
@@ -63,7 +63,7 @@
   waiting: Asked[]
   /** End of each export that was planned, by request. */
   readonly exports: Map<RequestId, Milliseconds>
-  readonly turns: LinkTurns
+  readonly turns: ExportQueue
   /** Exports that wait for their turn. */
   readonly asking: Map<RequestId, (go: boolean) => void>
   until: Milliseconds
@@ -95,7 +95,7 @@
       known.turns.until(deadline)
       return known
     }
-    const gathering: Gathering = { waiting: [], exports: new Map(), turns: createLinkTurns(estimate, deadline), asking: new Map(), until: deadline }
+    const gathering: Gathering = { waiting: [], exports: new Map(), turns: createExportQueue(estimate, deadline), asking: new Map(), until: deadline }
     gatherings.set(upstream, gathering)
     return gathering
   }
@@ -104,7 +104,7 @@
     const gathering = gatheringOf(request.upstream, clock.now() + request.remainingMs)
     return new Promise((resolve) => {
       gathering.asking.set(request.id, (go) => resolve({ go }))
-      answerTurns(gathering, gathering.turns.ask(request, clock.now()))
+      answerTurns(gathering, gathering.turns.enqueue(request, clock.now()))
     })
   }
 
@@ -113,7 +113,7 @@
     if (gathering !== undefined) answerTurns(gathering, gathering.turns.ended(end.id, end.moved, clock.now()))
   }
 
-  function answerTurns (gathering: Gathering, decisions: readonly TurnDecision[]): void {
+  function answerTurns (gathering: Gathering, decisions: readonly ExportDecision[]): void {
     for (const { id, kind } of decisions) {
       gathering.asking.get(id)?.(kind === 'go')
       gathering.asking.delete(id)
@@ -160,7 +160,7 @@
       streams: [...streams.values()],
       targets,
       leaving: views.filter((view) => view.leaving && view.service === own?.service && view.protocol === 'model').map((view) => view.name),
-      leavingDomains: domainsInWave(views.filter((view) => view.protocol === 'model')),
+      leavingDomains: reclaimedDomains(views.filter((view) => view.protocol === 'model')),
       recomputedPerThousandTokens: options.configuration()?.deployment.target.recomputed_per_thousand_tokens ?? DEFAULT_RECOMPUTED
     }
   }
@@ -199,7 +199,7 @@
     failureDomain: view.failureDomain,
     leaving: view.leaving || report.leaving,
     freeCacheTokens: ENGINE_CACHE_TOKENS * (1 - report.cacheUsed * (1 - EVICTABLE)),
-    freePlaces: Math.max(0, ENGINE_PLACES - report.running - report.waiting),
+    freeSlots: Math.max(0, ENGINE_PLACES - report.running - report.waiting),
     prefillRate: PREFILL_RATE,
     tokenTime: TOKEN_TIME,
     importRate: Number.POSITIVE_INFINITY
--- a/src/entry/reclaim-keeper.ts
+++ b/src/entry/reclaim-keeper.ts
@@ -14,7 +14,7 @@
 import type { Peers } from '../peer/client.js'
 import type { PlanRequest } from '../peer/reclaim.js'
 import type { UpstreamView } from '../upstream/index.js'
-import { timeToUse } from '../upstream/reclaim/index.js'
+import { usableTime } from '../upstream/reclaim/index.js'
 import type { OpenStream, StreamPlan } from '../upstream/reclaim/index.js'
 import type { Execution } from './execution.js'
 import type { NoticeKeeper } from './notice-keeper.js'
@@ -81,7 +81,7 @@
 async function carryOut (options: ReclaimOptions, reclaim: Reclaim): Promise<void> {
   const { clock, streams } = options
   const { view, planned, signal } = reclaim
-  const last = clock.now() + timeToUse(reclaim.deadline - clock.now())
+  const last = clock.now() + usableTime(reclaim.deadline - clock.now())
   while (!signal.aborted && clock.now() < last) {
     const fresh = streams.openAt(view.name).filter((stream) => stream.kind === 'model' && !planned.has(stream.id))
     if (fresh.length > 0) await planAndRun(options, reclaim, fresh)
--- a/src/upstream/cost.ts
+++ b/src/upstream/cost.ts
@@ -1,53 +1,69 @@
 /**
- * What it costs to run an attempt at an upstream: the time it waits there, and the time by which it
- * holds up what runs there already, in milliseconds.
+ * Cost of running an attempt at an upstream, in milliseconds: the time for which the attempt waits there, plus the
+ * time by which it delays the requests that already run there.
  */
 import type { Milliseconds } from '../clock.js'
-import type { Demand, UpstreamState } from './fleet-types.js'
+import type { AttemptDemand, UpstreamState } from './fleet-types.js'
 import type { UpstreamHealth } from './outliers.js'
 
-/** What the cost depends on. */
+/** Values that determine the cost of a placement. */
 export interface CostInput {
   readonly state: UpstreamState
-  readonly demand: Demand
+  readonly demand: AttemptDemand
+  /** Prompt tokens expected to be computed. */
   readonly computedTokens: number
+  /** Time to compute one prompt token. */
   readonly prefillTime: Milliseconds
-  /** Time per token; of a plain service, time of an answer. */
+  /** Time per generated token. For a plain service, the duration of an answer. */
   readonly tokenTime: Milliseconds
-  /** Requests of all nodes at the upstream, as believed and as drawn. */
+  /** Requests of all nodes at the upstream, used for the delay that the attempt causes to them. */
   readonly requests: number
-  readonly drawnRequests: number
-  /** Mean time that a place is taken by one answer. */
+  /** Requests of all nodes at the upstream, used for the time that the attempt waits. */
+  readonly sampledRequests: number
+  /** Mean time for which an answer occupies a batch slot. */
   readonly holdTime: Milliseconds
-  /** Time per token relative to the other upstreams. */
+  /** Time per token relative to the other upstreams, at least 1. */
   readonly slowness: number
   readonly health: UpstreamHealth
-  /** An upstream of the same failure domain died lately. */
+  /** Whether an upstream of the same failure domain failed recently. */
   readonly domainFailed: boolean
 }
 
-/** Share of the time per token that grows with the number of answers decoded together. */
+/** Share of the time per token that grows with the number of answers decoded in one batch. */
 const BATCH_SHARE = 0.05
 
-/** Share of a prefill by which it holds up each answer that is being decoded. */
-const PREFILL_INTERFERENCE = 1
+/** Share of a prefill's duration by which it delays each answer that is being decoded. */
+const PREFILL_INTERFERENCE_SHARE = 1
 
-/** Reports are late: an urgent request keeps this many places away from a full upstream. */
-const URGENT_MARGIN = 2
+/**
+ * Slots added to the load of an upstream for urgent requests. Load reports are late, so urgent requests avoid
+ * upstreams that are almost full.
+ */
+const URGENT_SLOT_MARGIN = 2
 
-/** Waiting counts this much more for a request that cannot wait. */
-const URGENT_FACTOR = 4
+/** Factor on the queueing time of urgent requests. */
+const URGENT_WAIT_FACTOR = 4
 
-/** An upstream with a sign of failure is chosen only when the others are this much worse. */
+/** Cost added to a suspect upstream. It is chosen only if the others are worse by this much. */
 const SUSPECT_COST: Milliseconds = 20_000
 
-/** A failure domain that lost an upstream lately may be on its way out as a whole. */
-const DOMAIN_COST: Milliseconds = 5_000
+/**
+ * Cost added to upstreams in a failure domain where an upstream failed recently, because the whole domain may be
+ * about to fail or to be reclaimed.
+ */
+const DOMAIN_FAILURE_COST: Milliseconds = 5_000
 
-/** A role that does not fit makes that part of the work this much dearer. */
-const WRONG_ROLE = 4
+/**
+ * Factor on the prefill time of an engine in the `decode` role, and on the decoding time of an engine in the
+ * `prefill` role.
+ */
+const WRONG_ROLE_FACTOR = 4
 
 /**
+ * Expected cost of an attempt at one upstream.
+ *
+ * An upstream in state `probe` costs 0, so that the probe is made as soon as an attempt may make it.
+ *
  * @returns comparable between the upstreams of one service; smaller is better
  * @example
  * const cost = costOf(input)
@@ -59,24 +75,24 @@
 }
 
 function plainTime (input: CostInput): Milliseconds {
-  return (input.drawnRequests + 1) * input.tokenTime
+  return (input.sampledRequests + 1) * input.tokenTime
 }
 
 function engineTime (input: CostInput): Milliseconds {
   const { state, demand, tokenTime } = input
   const role = state.report?.role ?? 'mixed'
   const slots = state.load.slots()
-  const prefill = input.prefillTime * (role === 'decode' ? WRONG_ROLE : 1)
-  const token = tokenTime * (role === 'prefill' ? WRONG_ROLE : 1)
-  const crowd = Math.max(0, input.drawnRequests + 1 + (demand.urgent ? URGENT_MARGIN : 0) - slots)
-  const waiting = crowd * input.holdTime / slots * (demand.urgent ? URGENT_FACTOR : 1)
-  const pending = state.load.pendingTokens() * prefill
-  const computing = input.computedTokens * prefill * (1 + PREFILL_INTERFERENCE * input.requests)
-  const decoding = 2 * BATCH_SHARE * token / slots * input.requests * demand.generatedTokens
-  return waiting + pending + computing + decoding
+  const prefillTime = input.prefillTime * (role === 'decode' ? WRONG_ROLE_FACTOR : 1)
+  const timePerToken = tokenTime * (role === 'prefill' ? WRONG_ROLE_FACTOR : 1)
+  const queuedRequests = Math.max(0, input.sampledRequests + 1 + (demand.urgent ? URGENT_SLOT_MARGIN : 0) - slots)
+  const queueTime = queuedRequests * input.holdTime / slots * (demand.urgent ? URGENT_WAIT_FACTOR : 1)
+  const pendingPrefillTime = state.load.pendingTokens() * prefillTime
+  const ownPrefillTime = input.computedTokens * prefillTime * (1 + PREFILL_INTERFERENCE_SHARE * input.requests)
+  const decodeTime = 2 * BATCH_SHARE * timePerToken / slots * input.requests * demand.generatedTokens
+  return queueTime + pendingPrefillTime + ownPrefillTime + decodeTime
 }
 
 function penalties (input: CostInput): Milliseconds {
   const suspect = input.health === 'suspect' ? SUSPECT_COST : 0
-  return suspect + (input.domainFailed ? DOMAIN_COST : 0)
+  return suspect + (input.domainFailed ? DOMAIN_FAILURE_COST : 0)
 }
--- a/src/upstream/estimate.ts
+++ b/src/upstream/estimate.ts
@@ -1,84 +1,98 @@
 /**
- * How fast the upstreams of one service and machine class are, learnt from their answers. Times are
- * medians or high quantiles of what was observed, so queueing that is usual is part of them.
+ * Speed of the upstreams of one service and machine class, estimated from their answers. The estimates are medians
+ * and high quantiles of observed durations, so they include the usual queueing.
  */
 import type { Milliseconds } from '../clock.js'
 import { createQuantileEstimate } from './quantile.js'
 
-/** One answer as this node saw it. Durations count from its dispatch. */
+/** One answer as observed by this node. Durations are measured from the dispatch. */
 export interface ObservedAnswer {
+  /** Time to the first token. */
   readonly firstToken: Milliseconds
+  /** Time to the end of the answer. */
   readonly whole: Milliseconds
-  /** Prompt tokens that were not found in the cache. */
+  /** Prompt tokens that were not served from the cache. */
   readonly computedTokens: number
   readonly generatedTokens: number
 }
 
-/** Expected times of an answer, from its dispatch. */
+/** Expected durations of an answer, measured from the dispatch. */
 export interface ExpectedAnswer {
   readonly firstToken: Milliseconds
   readonly whole: Milliseconds
 }
 
-/** Speeds of the model engines of one service and machine class. */
+/** Speed of the model engines of one service and machine class. */
 export interface EngineEstimate {
   observe (answer: ObservedAnswer): void
-  /** Time to compute one prompt token. */
+  /** Median time to compute one prompt token. */
   prefillTime (): Milliseconds
   /** Median time between two tokens of one answer. */
   tokenTime (): Milliseconds
-  /** Times that nine answers in ten keep. */
+  /** Durations that nine out of ten answers do not exceed. */
   expect (computedTokens: number, generatedTokens: number): ExpectedAnswer
 }
 
-/** Speed of the plain services of one service, by the time of whole answers. */
+/** Speed of the upstreams of a plain service, measured by the duration of whole answers. */
 export interface PlainEstimate {
   observe (whole: Milliseconds): void
+  /** Median duration of an answer. */
   median (): Milliseconds
-  /** Time that nine answers in ten keep. */
-  high (): Milliseconds
+  /** Duration that nine out of ten answers do not exceed. */
+  highQuantile (): Milliseconds
 }
 
-const HIGH = 0.9
-const MEDIAN = 0.5
+const HIGH_QUANTILE = 0.9
+const MEDIAN_QUANTILE = 0.5
 
-/** Below this many computed tokens the first token shows the overhead rather than the prefill. */
-const SHORT_PROMPT = 256
+/**
+ * With fewer computed tokens than this, the time to the first token is dominated by overhead and says little about
+ * the prefill rate.
+ */
+const SHORT_PROMPT_TOKENS = 256
 
-/** Priors of a cold start: a slow engine, so that too little rather than too much is sent at first. */
-const PRIOR = {
+/**
+ * Estimates before the first answer. They describe a slow engine, so that initially too few rather than too many
+ * requests are sent. Times in milliseconds.
+ */
+const INITIAL_ESTIMATE = {
   prefillTime: 0.2,
   overhead: 50,
   tokenTime: 30,
-  spread: 1.5,
+  firstTokenRatio: 1.5,
   plain: 50
 } as const
 
-/** A spread beyond this says that the engine was stuck, not how it queues. */
-const LARGEST_SPREAD = 8
+/**
+ * Maximum ratio of observed to expected time to the first token that is recorded. A higher ratio means that the
+ * engine was stalled, and says nothing about its usual queueing.
+ */
+const MAX_FIRST_TOKEN_RATIO = 8
 
 /**
+ * Creates an estimate for the engines of one machine class.
+ *
  * @example
  * const estimate = createEngineEstimate()
  * estimate.observe({ firstToken: 220, whole: 2_700, computedTokens: 1_200, generatedTokens: 100 })
  * estimate.expect(4_000, 800).whole
  */
 export function createEngineEstimate (): EngineEstimate {
-  const prefillTime = createQuantileEstimate(MEDIAN, PRIOR.prefillTime)
-  const overhead = createQuantileEstimate(MEDIAN, PRIOR.overhead)
-  const tokenTime = createQuantileEstimate(MEDIAN, PRIOR.tokenTime)
-  const highTokenTime = createQuantileEstimate(HIGH, PRIOR.tokenTime)
-  const spread = createQuantileEstimate(HIGH, PRIOR.spread)
+  const prefillTime = createQuantileEstimate(MEDIAN_QUANTILE, INITIAL_ESTIMATE.prefillTime)
+  const overhead = createQuantileEstimate(MEDIAN_QUANTILE, INITIAL_ESTIMATE.overhead)
+  const tokenTime = createQuantileEstimate(MEDIAN_QUANTILE, INITIAL_ESTIMATE.tokenTime)
+  const highTokenTime = createQuantileEstimate(HIGH_QUANTILE, INITIAL_ESTIMATE.tokenTime)
+  const highFirstTokenRatio = createQuantileEstimate(HIGH_QUANTILE, INITIAL_ESTIMATE.firstTokenRatio)
 
-  function usualFirstToken (computedTokens: number): Milliseconds {
+  function medianFirstToken (computedTokens: number): Milliseconds {
     return overhead.value() + computedTokens * prefillTime.value()
   }
 
   function observeFirstToken (answer: ObservedAnswer): void {
     const { computedTokens, firstToken } = answer
-    if (computedTokens < SHORT_PROMPT) overhead.observe(Math.max(1, firstToken - computedTokens * prefillTime.value()))
+    if (computedTokens < SHORT_PROMPT_TOKENS) overhead.observe(Math.max(1, firstToken - computedTokens * prefillTime.value()))
     else prefillTime.observe((firstToken - overhead.value()) / computedTokens)
-    spread.observe(Math.min(LARGEST_SPREAD, firstToken / usualFirstToken(computedTokens)))
+    highFirstTokenRatio.observe(Math.min(MAX_FIRST_TOKEN_RATIO, firstToken / medianFirstToken(computedTokens)))
   }
 
   return {
@@ -92,27 +106,29 @@
     prefillTime: prefillTime.value,
     tokenTime: tokenTime.value,
     expect: (computedTokens, generatedTokens) => {
-      const firstToken = usualFirstToken(computedTokens) * Math.max(1, spread.value())
+      const firstToken = medianFirstToken(computedTokens) * Math.max(1, highFirstTokenRatio.value())
       return { firstToken, whole: firstToken + generatedTokens * Math.max(tokenTime.value(), highTokenTime.value()) }
     }
   }
 }
 
 /**
+ * Creates an estimate for the upstreams of a plain service.
+ *
  * @example
  * const estimate = createPlainEstimate()
  * estimate.observe(35)
- * estimate.high()
+ * estimate.highQuantile()
  */
 export function createPlainEstimate (): PlainEstimate {
-  const median = createQuantileEstimate(MEDIAN, PRIOR.plain)
-  const high = createQuantileEstimate(HIGH, PRIOR.plain)
+  const median = createQuantileEstimate(MEDIAN_QUANTILE, INITIAL_ESTIMATE.plain)
+  const high = createQuantileEstimate(HIGH_QUANTILE, INITIAL_ESTIMATE.plain)
   return {
     observe: (whole) => {
       median.observe(whole)
       high.observe(whole)
     },
     median: median.value,
-    high: () => Math.max(median.value(), high.value())
+    highQuantile: () => Math.max(median.value(), high.value())
   }
 }
--- a/src/upstream/load.ts
+++ b/src/upstream/load.ts
@@ -1,176 +1,190 @@
 /**
- * Load of one upstream as one of several nodes sees it: exact about its own requests, and a late
- * report about everybody's.
+ * Load of one upstream as estimated by one of several nodes. The node counts its own requests exactly. The requests
+ * of the other nodes are known only from load reports, which arrive late.
  */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { Random } from '../random.js'
 import type { LoadReport } from './types.js'
 
-/** Load of one upstream. */
+/** Estimated load of one upstream. */
 export interface UpstreamLoad {
+  /** Records that a request was dispatched, with the number of prompt tokens to be computed. */
   sent (promptTokens: number, now: Milliseconds): void
+  /** Records that the first token of a request has arrived. */
   firstToken (promptTokens: number): void
+  /** Records that a request has ended. */
   ended (promptTokens: number, firstTokenCame: boolean, now: Milliseconds): void
   /**
-   * @param share this node's share of the service's requests, 1 over the number of nodes at least
-   * @param cap answers that may run there at a time
+   * Records a load report.
+   *
+   * @param share this node's share of the service's requests, at least 1 divided by the number of nodes
+   * @param maxRunning maximum number of answers that may run there concurrently
    */
-  reported (report: LoadReport, share: number, cap: number, now: Milliseconds, random: Random): void
-  /** Requests of this node there. */
-  own (): number
-  /** Prompt tokens sent whose first token has not come. */
+  reported (report: LoadReport, share: number, maxRunning: number, now: Milliseconds, random: Random): void
+  /** Requests of this node at the upstream. */
+  ownRequests (): number
+  /** Prompt tokens of this node's requests that have not produced their first token. */
   pendingTokens (): number
-  /** Requests of all nodes there as last reported, in decoding and waiting. */
+  /** Requests of all nodes in the latest report, running and waiting. */
   reportedTotal (): number
-  /** Requests of all nodes there now, as far as is known. */
+  /** Estimated number of requests of all nodes. */
   total (): number
   /**
-   * A guess at {@link total}, drawn anew each time.
+   * Random sample of the estimated number of requests of all nodes ({@link total}).
    *
-   * Failure guarded against: every node holds the same late report, all send to the upstream that was
-   * least loaded in it, and its queue shows only in the next report. So a report is believed less the
-   * older it is, and each node draws what may have come and gone since.
+   * Failure guarded against: all nodes have the same late report, all send to the upstream with the lowest load in
+   * it, and the queue that builds up shows only in the next report. Therefore the weight of a report decreases with
+   * its age, and each node samples the number of requests that may have started and ended since.
    *
-   * @param mean requests of other nodes per upstream of the service
-   * @param hold mean time that a request stays
+   * @param meanOfOthers mean number of other nodes' requests per upstream of the service
+   * @param holdTime mean time for which a request stays at the upstream
    */
-  sampledTotal (now: Milliseconds, random: Random, mean: number, hold: Milliseconds): number
-  /** Requests that it decodes at a time, learnt. */
+  sampledTotal (now: Milliseconds, random: Random, meanOfOthers: number, holdTime: Milliseconds): number
+  /** Estimated number of requests that the upstream runs concurrently. */
   slots (): number
-  /** Whether this node may send one more. */
-  hasRoom (limits: RoomLimits, urgent: boolean, now: Milliseconds): boolean
+  /** Whether this node may send another request. */
+  hasCapacity (limits: CapacityLimits, urgent: boolean, now: Milliseconds): boolean
 }
 
-/** What limits the requests of this node at an upstream. */
-export interface RoomLimits {
-  /** This node's equal share among those that use the upstream. */
+/** Limits on the requests of this node at an upstream. */
+export interface CapacityLimits {
+  /** Equal share of this node among the nodes that use the upstream. */
   readonly share: number
-  /** Places left free for urgent requests. */
+  /** Slots kept free for urgent requests. */
   readonly spare: number
-  /** Answers that may run at a time, apart from urgent ones. */
-  readonly cap: number
+  /**
+   * Maximum number of answers that may run concurrently. Urgent requests are exempt while the load report is recent.
+   */
+  readonly maxRunning: number
 }
 
-interface Change {
+interface RequestCountChange {
   readonly at: Milliseconds
-  readonly by: 1 | -1
+  readonly delta: 1 | -1
 }
 
-/** Slots before any report showed more or less. */
-const PRIOR_SLOTS = 8
+/** Number of slots before the first report. */
+const INITIAL_SLOTS = 8
 
-/** How many slots may be tried beyond those seen in use. */
-const SLOT_GROWTH = 1.25
+/** Factor by which the estimate may exceed the slots seen in use. */
+const SLOT_GROWTH_FACTOR = 1.25
 
-/** Requests that wait at an engine whose places are all taken. */
-const FULL_QUEUE = 2
+/** Number of waiting requests from which all slots count as occupied. */
+const FULL_QUEUE_LENGTH = 2
 
-/** Weight of a report that shows fewer places than believed. */
-const SLOT_STEP = 0.1
+/** Weight of a report that shows fewer slots than estimated. */
+const SLOT_DECREASE_WEIGHT = 0.1
 
-/** Requests kept waiting at the engine, so that it never idles between two reports. */
+/** Requests kept waiting at the engine, so that it does not idle between two reports. */
 const STANDING_QUEUE = 0
 
-/** A report older than this says nothing about the others any more. */
+/** Age from which a report is not used to estimate the load of the other nodes. */
 const REPORT_LIFETIME: Milliseconds = 5 * SECOND
 
 /**
- * Part of its equal share of the places that a node may always take. Less, and nodes with little work
- * lose theirs to a flood at others; all of it, and the places kept free for urgent work are filled.
+ * Fraction of its equal share of the slots that a node may always use. With a lower fraction, nodes with little
+ * traffic lose their slots to nodes with much traffic. With the full share, the slots kept free for urgent requests
+ * are used up.
  */
-const GUARANTEED_PART = 0.85
+const GUARANTEED_FRACTION = 0.85
 
-/** Bias of rounding, for limits of one request and more. */
-const ROUNDING = 0.5
+/** Bias subtracted before rounding limits of one request and more. */
+const ROUNDING_BIAS = 0.5
 
-/** What a report says about one upstream is believed with this time constant, then the mean of all. */
-const REPORT_MEMORY: Milliseconds = 1_200
+/** Time constant with which the weight of a report decreases in favour of the mean of all upstreams. */
+const REPORT_DECAY_TIME: Milliseconds = 1_200
 
-/** Width of the draw, in standard deviations of what may have come and gone. */
-const SPREAD = 2
+/**
+ * Half-width of the sample, in standard deviations of the requests that may have started and ended since the report.
+ */
+const SAMPLE_WIDTH_DEVIATIONS = 2
 
-/** Requests allowed at an upstream that has not answered yet; doubles with each first token. */
-const FIRST_WINDOW = 4
+/** Requests allowed at an upstream that has not responded yet. The limit doubles with each first token. */
+const INITIAL_WINDOW = 4
 
 /**
+ * Creates the load estimate of one upstream.
+ *
  * @param now time at which the upstream was first seen
  * @example
  * const load = createUpstreamLoad(now)
- * if (load.hasRoom({ share: 1 / nodes, spare: 0, cap: Infinity }, false, now)) load.sent(attempt.promptTokens, now)
+ * if (load.hasCapacity({ share: 1 / nodes, spare: 0, maxRunning: Infinity }, false, now)) load.sent(attempt.promptTokens, now)
  */
 export function createUpstreamLoad (now: Milliseconds): UpstreamLoad {
-  let changes: Change[] = []
-  let own = 0
+  let recentChanges: RequestCountChange[] = []
+  let ownRequests = 0
   let pendingTokens = 0
-  let others = 0
+  let otherRequests = 0
   let limit = Number.POSITIVE_INFINITY
-  /** Decides between the whole numbers next to a fractional limit; drawn with each report. */
-  let draw = 0
+  /** Random offset that rounds a fractional limit up or down. It is drawn once per report. */
+  let roundingOffset = 0
   let reportedTotal = 0
   let reportedAt = now
-  let seenAt = now
-  let slots = PRIOR_SLOTS
-  /** All places were seen taken once. */
-  let full = false
-  let window = FIRST_WINDOW
+  let measuredAt = now
+  let slots = INITIAL_SLOTS
+  /** Whether a report has shown all slots occupied. */
+  let wasFull = false
+  let window = INITIAL_WINDOW
 
-  /** Requests of this node that were there when the report was made. */
+  /** Requests of this node that were at the upstream at the given time. */
   function ownAt (time: Milliseconds): number {
-    let count = own
-    for (let index = changes.length - 1; index >= 0; index -= 1) {
-      const change = changes[index] as Change
+    let count = ownRequests
+    for (let index = recentChanges.length - 1; index >= 0; index -= 1) {
+      const change = recentChanges[index] as RequestCountChange
       if (change.at <= time) break
-      count -= change.by
+      count -= change.delta
     }
     return Math.max(0, count)
   }
 
-  function record (at: Milliseconds, by: 1 | -1): void {
-    // Trimmed at twice the time that is needed: each trim then drops half, and a change costs the same on average.
-    if (changes.length > 0 && (changes[0] as Change).at < at - 2 * REPORT_LIFETIME) changes = changes.filter((change) => change.at >= at - REPORT_LIFETIME)
-    changes.push({ at, by })
-    own += by
+  function recordChange (at: Milliseconds, delta: 1 | -1): void {
+    // Trimming at twice the needed age removes half of the entries each time, so that the amortised cost per change
+    // is constant.
+    if (recentChanges.length > 0 && (recentChanges[0] as RequestCountChange).at < at - 2 * REPORT_LIFETIME) recentChanges = recentChanges.filter((change) => change.at >= at - REPORT_LIFETIME)
+    recentChanges.push({ at, delta })
+    ownRequests += delta
   }
 
   /**
-   * A queue shows that all places are taken; until one was seen, more are tried.
+   * A queue shows that all slots are occupied. Until a queue has been seen, the estimate grows beyond the slots in
+   * use.
    *
-   * Failure guarded against: a request that has just come waits for the next step of the engine even
-   * when places are free, and a report of that moment would shrink the estimate, again and again. So
-   * only a queue of several counts, and the estimate falls slowly and rises at once.
+   * Failure guarded against: a request that has just arrived waits for the engine's next step even if slots are free.
+   * A report made at that moment would lower the estimate, and repeated reports would lower it further. Therefore
+   * only a queue of several requests counts. The estimate rises immediately and falls slowly.
    */
   function learnSlots (report: LoadReport): void {
     if (report.running === 0) return
     if (report.running >= slots) slots = report.running
-    else if (report.waiting >= FULL_QUEUE) slots += SLOT_STEP * (report.running - slots)
-    if (report.waiting >= FULL_QUEUE) full = true
-    else if (!full && report.running >= slots - 1) slots = report.running * SLOT_GROWTH + 1
+    else if (report.waiting >= FULL_QUEUE_LENGTH) slots += SLOT_DECREASE_WEIGHT * (report.running - slots)
+    if (report.waiting >= FULL_QUEUE_LENGTH) wasFull = true
+    else if (!wasFull && report.running >= slots - 1) slots = report.running * SLOT_GROWTH_FACTOR + 1
   }
 
   /**
-   * Failure guarded against: all nodes see the same free places in one report and all fill them. Each
-   * takes only its share of what is free, or gives up its share of what is too much.
+   * Failure guarded against: all nodes see the same free slots in one report, and all of them fill these slots.
+   * Therefore each node uses only its share of the free slots, and reduces its requests by its share of any excess.
    */
-  function renewLimit (ownThen: number, share: number, cap: number, random: Random): void {
-    const free = Math.min(cap, slots + STANDING_QUEUE) - reportedTotal
-    const part = free >= 0 ? share : ownThen / Math.max(1, reportedTotal)
-    draw = random.fraction()
-    limit = ownThen + free * part
+  function updateLimit (ownAtReport: number, share: number, maxRunning: number, random: Random): void {
+    const free = Math.min(maxRunning, slots + STANDING_QUEUE) - reportedTotal
+    const fraction = free >= 0 ? share : ownAtReport / Math.max(1, reportedTotal)
+    roundingOffset = random.fraction()
+    limit = ownAtReport + free * fraction
   }
 
   /**
-   * Failure guarded against: among many nodes each one's share of what is free is less than one
-   * request, and rounded down nobody would ever send. Small shares are rounded up now and then; larger
-   * ones to the nearest, since rounding up at several nodes together overfills the upstream.
+   * Failure guarded against: with many nodes, each node's share of the free slots is less than one request. Rounded
+   * down, no node would ever send. Therefore small shares are rounded up at random. Larger shares are rounded to the
+   * nearest number, because rounding up on several nodes together would overload the upstream.
    */
-  function whole (value: number): number {
-    return value + draw - ROUNDING * Math.min(1, Math.max(0, value))
+  function roundRandomly (value: number): number {
+    return value + roundingOffset - ROUNDING_BIAS * Math.min(1, Math.max(0, value))
   }
 
   return {
     sent: (promptTokens, at) => {
-      record(at, 1)
+      recordChange(at, 1)
       pendingTokens += promptTokens
     },
     firstToken: (promptTokens) => {
@@ -178,37 +192,37 @@
       window *= 2
     },
     ended: (promptTokens, firstTokenCame, at) => {
-      record(at, -1)
+      recordChange(at, -1)
       if (!firstTokenCame) pendingTokens = Math.max(0, pendingTokens - promptTokens)
     },
-    reported: (report, share, cap, at, random) => {
-      seenAt = at - report.ageMs
-      const ownThen = ownAt(seenAt)
+    reported: (report, share, maxRunning, at, random) => {
+      measuredAt = at - report.ageMs
+      const ownAtReport = ownAt(measuredAt)
       reportedTotal = report.running + report.waiting
-      others = Math.max(0, reportedTotal - ownThen)
+      otherRequests = Math.max(0, reportedTotal - ownAtReport)
       reportedAt = at
       learnSlots(report)
-      renewLimit(ownThen, share, cap, random)
+      updateLimit(ownAtReport, share, maxRunning, random)
     },
-    own: () => own,
+    ownRequests: () => ownRequests,
     pendingTokens: () => pendingTokens,
     reportedTotal: () => reportedTotal,
-    total: () => own + others,
-    sampledTotal: (at, random, mean, hold) => {
-      const age = Math.min(REPORT_LIFETIME, at - seenAt)
-      const believed = mean + (others - mean) * Math.exp(-age / REPORT_MEMORY)
-      const spread = SPREAD * Math.sqrt(1 + 2 * others * age / hold)
-      return Math.max(own, own + believed + (2 * random.fraction() - 1) * spread)
+    total: () => ownRequests + otherRequests,
+    sampledTotal: (at, random, meanOfOthers, holdTime) => {
+      const age = Math.min(REPORT_LIFETIME, at - measuredAt)
+      const expectedOthers = meanOfOthers + (otherRequests - meanOfOthers) * Math.exp(-age / REPORT_DECAY_TIME)
+      const width = SAMPLE_WIDTH_DEVIATIONS * Math.sqrt(1 + 2 * otherRequests * age / holdTime)
+      return Math.max(ownRequests, ownRequests + expectedOthers + (2 * random.fraction() - 1) * width)
     },
     slots: () => slots,
-    hasRoom: (limits, urgent, at) => {
-      if (own >= window) return false
+    hasCapacity: (limits, urgent, at) => {
+      if (ownRequests >= window) return false
       const guaranteed = Math.max(1, slots * limits.share)
-      if (at - reportedAt > REPORT_LIFETIME) return own + 1 <= Math.min(guaranteed, limits.cap)
-      if (urgent) return own + 1 <= Math.max(guaranteed, whole(limit)) || own + others + 1 <= slots
-      const open = Math.min(limits.cap, slots + STANDING_QUEUE - limits.spare)
-      const part = open * limits.share * GUARANTEED_PART
-      return own + 1 <= whole(own + others + 1 > open ? part : Math.max(part, limit))
+      if (at - reportedAt > REPORT_LIFETIME) return ownRequests + 1 <= Math.min(guaranteed, limits.maxRunning)
+      if (urgent) return ownRequests + 1 <= Math.max(guaranteed, roundRandomly(limit)) || ownRequests + otherRequests + 1 <= slots
+      const openSlots = Math.min(limits.maxRunning, slots + STANDING_QUEUE - limits.spare)
+      const guaranteedOpen = openSlots * limits.share * GUARANTEED_FRACTION
+      return ownRequests + 1 <= roundRandomly(ownRequests + otherRequests + 1 > openSlots ? guaranteedOpen : Math.max(guaranteedOpen, limit))
     }
   }
 }
--- a/src/upstream/outliers.ts
+++ b/src/upstream/outliers.ts
@@ -1,11 +1,13 @@
 /**
- * Finds the upstreams of one service that are slow, dead or half dead, and takes them out for a while.
+ * Detects upstreams of one service that are slow, dead or partly working, and ejects them for a limited time.
  *
- * Failures guarded against: an upstream that accepts requests and makes no progress looks idle and
- * would attract all new work; overload that slows every upstream must not eject the healthy
- * majority; one lost connection must not eject an upstream. So evidence comes from at least two
- * attempts with no progress in between, slowness is relative to the other upstreams, and only a part
- * of a service can be out at a time.
+ * Failures guarded against:
+ * - An upstream that accepts requests without making progress looks idle and would attract all new requests.
+ *   Therefore an attempt that waits too long for its first token counts as a failure.
+ * - Overload slows down every upstream and must not eject the healthy majority. Therefore slowness is measured
+ *   relative to the other upstreams, and only a limited share of a service can be ejected at a time.
+ * - One lost connection must not eject an upstream. Therefore at least two failed attempts without progress in
+ *   between are required.
  */
 import type { Milliseconds } from '../clock.js'
 import { MINUTE, SECOND } from '../clock.js'
@@ -14,93 +16,101 @@
 import type { QuantileEstimate } from './quantile.js'
 
 /**
- * - `healthy`: takes work
- * - `suspect`: one sign of failure; chosen after the others
- * - `ejected`: takes no work
- * - `probe`: may take one attempt, which decides
+ * - `healthy`: takes attempts
+ * - `suspect`: failed since the last progress; chosen after the others
+ * - `ejected`: takes no attempts
+ * - `probe`: may take one attempt, which decides whether the upstream is reinstated
  */
 export type UpstreamHealth = 'healthy' | 'suspect' | 'ejected' | 'probe'
 
 /** Outlier detection among the upstreams of one service. */
 export interface OutlierDetector {
-  /** The upstreams there are now; others are forgotten. */
-  keep (upstreams: readonly UpstreamName[]): void
-  /** An attempt got its first token. */
+  /** Sets the current upstreams and discards the state of all others. */
+  retainOnly (upstreams: readonly UpstreamName[]): void
+  /** Records that an attempt got its first token. */
   progressed (upstream: UpstreamName): void
-  /** Time per token of an answer, relative to the service's median. */
-  measured (upstream: UpstreamName, ratio: number, now: Milliseconds): void
-  /** An attempt failed there, or has waited far too long for its first token. */
-  struck (upstream: UpstreamName, now: Milliseconds): void
-  /** An attempt was sent: to an upstream in `probe` it is the probe. */
+  /** Records the time per token of an answer, relative to the median of the service. */
+  tokenTimeObserved (upstream: UpstreamName, ratio: number, now: Milliseconds): void
+  /** Records that an attempt failed or has waited too long for its first token. */
+  failureObserved (upstream: UpstreamName, now: Milliseconds): void
+  /** Records that an attempt was dispatched. For an upstream in state `probe` this attempt is the probe. */
   sent (upstream: UpstreamName): void
-  /** An attempt ended without any evidence. */
+  /** Records that an attempt ended without showing whether the upstream works. */
   withdrawn (upstream: UpstreamName): void
+  /** Current health. Unknown upstreams are healthy. */
   health (upstream: UpstreamName, now: Milliseconds): UpstreamHealth
-  /** Time per token relative to the others, 1 for usual. */
+  /** Time per token relative to the other upstreams. 1 is usual, and the value is never lower. */
   slowness (upstream: UpstreamName): number
 }
 
-interface Record {
-  strikes: number
+interface UpstreamRecord {
+  consecutiveFailures: number
   ratio: QuantileEstimate
   ejectedUntil: Milliseconds | undefined
   ejections: number
   probing: boolean
 }
 
-/** Signs of failure, without progress in between, that eject. */
-const STRIKES = 2
+/** Number of failures without progress in between after which an upstream is ejected. */
+const FAILURES_TO_EJECT = 2
 
-/** Relative time per token that ejects, once it was measured often enough. */
+/** Relative time per token above which an upstream is ejected, provided that enough answers were measured. */
 const SLOW_RATIO = 2.5
-const SLOW_SAMPLES = 5
 
-/** Largest share of a service's upstreams that is out at a time. */
-export const LARGEST_EJECTED_SHARE = 0.34
+/** Minimum number of measured answers for an ejection because of slowness. */
+const MIN_SLOW_SAMPLES = 5
 
-const FIRST_EJECTION: Milliseconds = 3 * SECOND
-const LONGEST_EJECTION: Milliseconds = MINUTE
+/** Maximum share of a service's upstreams that is ejected at a time. */
+export const MAX_EJECTED_SHARE = 0.34
+
+/** Duration of the first ejection. It doubles with each further ejection. */
+const BASE_EJECTION_TIME: Milliseconds = 3 * SECOND
+
+/** Maximum duration of an ejection. */
+const MAX_EJECTION_TIME: Milliseconds = MINUTE
 
 /**
+ * Creates a detector without upstreams.
+ *
  * @example
  * const outliers = createOutlierDetector()
- * outliers.keep(names)
- * outliers.struck(name, now)
+ * outliers.retainOnly(names)
+ * outliers.failureObserved(name, now)
  * outliers.health(name, now) // 'suspect'
  */
 export function createOutlierDetector (): OutlierDetector {
-  const records = new Map<UpstreamName, Record>()
+  const records = new Map<UpstreamName, UpstreamRecord>()
 
-  function create (): Record {
-    return { strikes: 0, ratio: createQuantileEstimate(0.5, 1), ejectedUntil: undefined, ejections: 0, probing: false }
+  function create (): UpstreamRecord {
+    return { consecutiveFailures: 0, ratio: createQuantileEstimate(0.5, 1), ejectedUntil: undefined, ejections: 0, probing: false }
   }
 
   function mayEject (): boolean {
-    let out = 0
-    for (const record of records.values()) if (record.ejectedUntil !== undefined) out += 1
-    return out + 1 <= records.size * LARGEST_EJECTED_SHARE
+    let ejected = 0
+    for (const record of records.values()) if (record.ejectedUntil !== undefined) ejected += 1
+    return ejected + 1 <= records.size * MAX_EJECTED_SHARE
   }
 
-  function eject (record: Record, now: Milliseconds): void {
+  function eject (record: UpstreamRecord, now: Milliseconds): void {
     if (record.ejectedUntil === undefined && !mayEject()) return
-    record.ejectedUntil = now + Math.min(LONGEST_EJECTION, FIRST_EJECTION * 2 ** record.ejections)
+    record.ejectedUntil = now + Math.min(MAX_EJECTION_TIME, BASE_EJECTION_TIME * 2 ** record.ejections)
     record.ejections += 1
     record.probing = false
   }
 
-  function reinstate (record: Record): void {
+  function reinstate (record: UpstreamRecord): void {
     record.ejectedUntil = undefined
     record.probing = false
     record.ratio = createQuantileEstimate(0.5, 1)
   }
 
-  function finishProbe (record: Record, ratio: number, now: Milliseconds): void {
+  function finishProbe (record: UpstreamRecord, ratio: number, now: Milliseconds): void {
     if (ratio < SLOW_RATIO) reinstate(record)
     else eject(record, now)
   }
 
   return {
-    keep: (upstreams) => {
+    retainOnly: (upstreams) => {
       const present = new Set(upstreams)
       for (const name of records.keys()) if (!present.has(name)) records.delete(name)
       for (const name of upstreams) if (!records.has(name)) records.set(name, create())
@@ -108,24 +118,24 @@
     progressed: (upstream) => {
       const record = records.get(upstream)
       if (record === undefined) return
-      record.strikes = 0
+      record.consecutiveFailures = 0
       if (record.probing && record.ratio.value() < SLOW_RATIO) reinstate(record)
     },
-    measured: (upstream, ratio, now) => {
+    tokenTimeObserved: (upstream, ratio, now) => {
       const record = records.get(upstream)
       if (record === undefined) return
       if (record.probing) return finishProbe(record, ratio, now)
       record.ratio.observe(ratio)
       if (record.ejectedUntil !== undefined) return
-      const slow = record.ratio.value() > SLOW_RATIO && record.ratio.samples() >= SLOW_SAMPLES
+      const slow = record.ratio.value() > SLOW_RATIO && record.ratio.samples() >= MIN_SLOW_SAMPLES
       if (slow) eject(record, now)
       else if (ratio < SLOW_RATIO) record.ejections = 0
     },
-    struck: (upstream, now) => {
+    failureObserved: (upstream, now) => {
       const record = records.get(upstream)
       if (record === undefined) return
-      record.strikes += 1
-      if (record.probing || (record.strikes >= STRIKES && record.ejectedUntil === undefined)) eject(record, now)
+      record.consecutiveFailures += 1
+      if (record.probing || (record.consecutiveFailures >= FAILURES_TO_EJECT && record.ejectedUntil === undefined)) eject(record, now)
     },
     sent: (upstream) => {
       const record = records.get(upstream)
@@ -138,7 +148,7 @@
     health: (upstream, now) => {
       const record = records.get(upstream)
       if (record === undefined) return 'healthy'
-      if (record.ejectedUntil === undefined) return record.strikes > 0 ? 'suspect' : 'healthy'
+      if (record.ejectedUntil === undefined) return record.consecutiveFailures > 0 ? 'suspect' : 'healthy'
       return now >= record.ejectedUntil && !record.probing ? 'probe' : 'ejected'
     },
     slowness: (upstream) => {
--- a/src/upstream/prefix-index.ts
+++ b/src/upstream/prefix-index.ts
@@ -1,51 +1,58 @@
 /**
- * What an upstream's prompt cache is expected to hold. Three sources: this node's own dispatches,
- * the cache events that engines publish late and with gaps, and the cached tokens that answers
- * report. The last one is the truth and corrects the others.
+ * Expected content of an upstream's prompt cache. There are three sources: the dispatches of this node, the cache
+ * events that engines publish late and with gaps, and the number of cached tokens that answers report. The reported
+ * numbers are authoritative and correct the other two.
  */
 
-/** Expected cache of one upstream, in bounded memory. */
+/** Expected cache content of one upstream, in bounded memory. */
 export interface PrefixIndex {
   /**
-   * Blocks of a prompt, counted from its start, that are expected to be cached.
+   * Number of leading blocks of a prompt that are expected to be cached.
    *
-   * @param guess tried first; most upstreams hold the same short beginning of a prompt
+   * @param hint number that is tried first, since most upstreams have cached the same short prefix of a prompt
    */
-  expected (blocks: readonly string[], guess?: number): number
-  /** A prompt was sent there; its blocks are expected to be cached from now on. */
+  expected (blocks: readonly string[], hint?: number): number
+  /** Records that a prompt was dispatched. Its blocks are expected to be cached from now on. */
   sent (blocks: readonly string[]): void
+  /** Records cache events. `gap` means that events were missed. */
   changed (stored: readonly string[], evicted: readonly string[], gap: boolean): void
-  /** An answer reported how many of the blocks that were expected at its dispatch were cached. */
+  /** Records how many of the blocks that were expected at the dispatch were cached according to the answer. */
   answered (expectedBlocks: number, cachedBlocks: number): void
-  /** Share of the expected hits that come true, 0 to 1. */
-  trust (): number
-  /** Blocks that this cache is believed to hold at most. */
+  /** Smoothed share of expected hits that were confirmed by answers, 0 to 1. */
+  confidence (): number
+  /** Maximum number of blocks that the cache is estimated to hold. */
   capacity (): number
 }
 
-/** Blocks remembered for one upstream. */
-export const MOST_BLOCKS = 2_048
+/** Maximum number of blocks tracked for one upstream. */
+export const MAX_BLOCKS = 2_048
 
-const FEWEST_BLOCKS = 64
+/** Minimum number of blocks tracked for one upstream. */
+const MIN_BLOCKS = 64
 
-/** How far one answer moves the trust. */
-const TRUST_STEP = 0.1
+/** Weight of one answer in the confidence. */
+const CONFIDENCE_STEP = 0.1
 
-/** Trust is never lost for good: a hit can only be seen where one is tried. */
-const LEAST_TRUST = 0.2
+/** The confidence never falls below this value, because hits can only be observed where they are attempted. */
+const MIN_CONFIDENCE = 0.2
 
-/** Events were missed: evictions may be among them. */
-const GAP_FACTOR = 0.8
+/** Factor applied to the confidence after a gap in the events, because evictions may have been missed. */
+const GAP_CONFIDENCE_FACTOR = 0.8
 
-/** A hit that did not come true: the cache is smaller, or more shared, than believed. */
-const SHRINK = 0.97
+/**
+ * Factor applied to the capacity when an expected hit was not confirmed. The cache is smaller, or used by more nodes,
+ * than estimated.
+ */
+const MISS_CAPACITY_FACTOR = 0.97
 
-/** A hit that came true. */
-const GROWTH = 1.005
+/** Factor applied to the capacity when an expected hit was confirmed. */
+const HIT_CAPACITY_FACTOR = 1.005
 
 /**
- * The engine's memory is unknown and other nodes fill it too, so the number of blocks remembered
- * follows the hits: it shrinks with each hit that fails and grows slowly with those that hold.
+ * Creates an index without blocks.
+ *
+ * The engine's memory is unknown and other nodes fill it too. The number of tracked blocks therefore follows the
+ * hits: it shrinks with each hit that is not confirmed and grows slowly with confirmed hits.
  *
  * @example
  * const index = createPrefixIndex()
@@ -53,61 +60,64 @@
  * index.expected(['a', 'b', 'c']) // 2
  */
 export function createPrefixIndex (): PrefixIndex {
-  /** Insertion order is order of use. */
-  const known = new Set<string>()
-  let capacity = MOST_BLOCKS
-  let trust = 1
+  /** Insertion order is the order of last use, least recently used first. */
+  const cachedBlocks = new Set<string>()
+  let capacity = MAX_BLOCKS
+  let confidence = 1
 
-  function remember (block: string): void {
-    known.delete(block)
-    known.add(block)
+  function markUsed (block: string): void {
+    cachedBlocks.delete(block)
+    cachedBlocks.add(block)
   }
 
-  function forgetOldest (): void {
-    for (const block of known) {
-      if (known.size <= capacity) return
-      known.delete(block)
+  function evictOldest (): void {
+    for (const block of cachedBlocks) {
+      if (cachedBlocks.size <= capacity) return
+      cachedBlocks.delete(block)
     }
   }
 
   return {
-    expected: (blocks, guess = 0) => isLongest(known, blocks, guess) ? guess : longestPresent(known, blocks),
+    expected: (blocks, hint = 0) => isLongestCachedPrefix(cachedBlocks, blocks, hint) ? hint : longestCachedPrefix(cachedBlocks, blocks),
     sent: (blocks) => {
-      // The end first: what many prompts share stays the most recently used.
-      for (let index = blocks.length - 1; index >= 0; index -= 1) remember(blocks[index] as string)
-      forgetOldest()
+      // The last block first, so that the leading blocks that many prompts share remain the most recently used.
+      for (let index = blocks.length - 1; index >= 0; index -= 1) markUsed(blocks[index] as string)
+      evictOldest()
     },
     changed: (stored, evicted, gap) => {
-      if (gap) trust = Math.max(LEAST_TRUST, trust * GAP_FACTOR)
-      for (const block of evicted) known.delete(block)
-      for (const block of stored) remember(block)
-      forgetOldest()
+      if (gap) confidence = Math.max(MIN_CONFIDENCE, confidence * GAP_CONFIDENCE_FACTOR)
+      for (const block of evicted) cachedBlocks.delete(block)
+      for (const block of stored) markUsed(block)
+      evictOldest()
     },
     answered: (expectedBlocks, cachedBlocks) => {
       if (expectedBlocks === 0) return
       const share = Math.min(1, cachedBlocks / expectedBlocks)
-      trust = Math.max(LEAST_TRUST, trust + TRUST_STEP * (share - trust))
-      const factor = share < 0.9 ? SHRINK : GROWTH
-      capacity = Math.min(MOST_BLOCKS, Math.max(FEWEST_BLOCKS, capacity * factor))
+      confidence = Math.max(MIN_CONFIDENCE, confidence + CONFIDENCE_STEP * (share - confidence))
+      const factor = share < 0.9 ? MISS_CAPACITY_FACTOR : HIT_CAPACITY_FACTOR
+      capacity = Math.min(MAX_BLOCKS, Math.max(MIN_BLOCKS, capacity * factor))
     },
-    trust: () => trust,
+    confidence: () => confidence,
     capacity: () => Math.round(capacity)
   }
 }
 
-function isLongest (known: ReadonlySet<string>, blocks: readonly string[], count: number): boolean {
-  if (count < blocks.length && known.has(blocks[count] as string)) return false
-  return count === 0 || known.has(blocks[count - 1] as string)
+function isLongestCachedPrefix (cachedBlocks: ReadonlySet<string>, blocks: readonly string[], count: number): boolean {
+  if (count < blocks.length && cachedBlocks.has(blocks[count] as string)) return false
+  return count === 0 || cachedBlocks.has(blocks[count - 1] as string)
 }
 
-/** A prompt's blocks are evicted from its end, so presence is monotonic along it: a binary search. */
-function longestPresent (known: ReadonlySet<string>, blocks: readonly string[]): number {
-  let present = 0
-  let absent = blocks.length + 1
-  while (absent - present > 1) {
-    const middle = (present + absent) >> 1
-    if (known.has(blocks[middle - 1] as string)) present = middle
-    else absent = middle
+/**
+ * Binary search for the number of leading blocks that are cached. Engines evict the blocks of a prompt from its end,
+ * so a cached block implies that all earlier ones are cached.
+ */
+function longestCachedPrefix (cachedBlocks: ReadonlySet<string>, blocks: readonly string[]): number {
+  let maxCached = 0
+  let minUncached = blocks.length + 1
+  while (minUncached - maxCached > 1) {
+    const middle = (maxCached + minUncached) >> 1
+    if (cachedBlocks.has(blocks[middle - 1] as string)) maxCached = middle
+    else minUncached = middle
   }
-  return present
+  return maxCached
 }
--- a/src/upstream/quantile.ts
+++ b/src/upstream/quantile.ts
@@ -1,29 +1,32 @@
 /**
- * A quantile of a stream of positive measurements, followed in constant memory.
+ * Estimates a quantile of a stream of positive measurements in constant memory.
  *
- * Failure guarded against: one measurement that is a thousand times too large (a paused process, a
- * silent connection) would drag a mean along for minutes. Here a measurement only says on which side
- * of the estimate it lies, so each moves the estimate by at most one bounded step.
+ * Failure guarded against: one measurement that is a thousand times too large (a paused process, a stalled
+ * connection) distorts a mean for minutes. Here only the side of the estimate on which a measurement lies counts, so
+ * each measurement moves the estimate by at most one bounded step.
  */
 
-/** A quantile that follows what it observes. */
+/** Quantile estimate that follows the observed measurements. */
 export interface QuantileEstimate {
-  /** Takes in a measurement; what is not a positive finite number is ignored. */
+  /** Records a measurement. Values that are not positive finite numbers are ignored. */
   observe (measurement: number): void
+  /** Current estimate. */
   value (): number
-  /** Measurements taken in. */
+  /** Number of recorded measurements. */
   samples (): number
 }
 
-/** Largest relative step, right after a cold start. */
-const FIRST_STEP = 0.6
+/** Relative step of the first measurement. */
+const MAX_STEP = 0.6
 
-/** Smallest relative step: the estimate never stops following. */
-const LAST_STEP = 0.03
+/** Minimum relative step, so that the estimate keeps following changes. */
+const MIN_STEP = 0.03
 
 /**
- * @param quantile in (0, 1); 0.5 follows the median
- * @param prior value before anything was measured
+ * Creates an estimate.
+ *
+ * @param quantile in (0, 1); 0.5 is the median
+ * @param prior value before the first measurement
  * @example
  * const median = createQuantileEstimate(0.5, 20)
  * median.observe(31)
@@ -38,7 +41,7 @@
     observe: (measurement) => {
       if (!(measurement > 0) || !Number.isFinite(measurement)) return
       samples += 1
-      const step = scale * Math.max(LAST_STEP, FIRST_STEP / Math.sqrt(samples))
+      const step = scale * Math.max(MIN_STEP, MAX_STEP / Math.sqrt(samples))
       value *= Math.exp(measurement > value ? step * quantile : -step * (1 - quantile))
     },
     value: () => value,
--- a/src/upstream/reclaim/leaving.ts
+++ b/src/upstream/reclaim/leaving.ts
@@ -1,159 +1,171 @@
 /**
- * Which instances leave, merged from every source into one view that only grows: the first notice
- * about an incarnation counts, whoever brings it, and only a new incarnation ends it.
+ * Merges notices about leaving instances from all sources. The first notice about an incarnation counts, whatever its
+ * source, and stays in force until a new incarnation is detected. A later notice can only bring the deadline forward.
  */
 import type { Milliseconds } from '../../clock.js'
 import { MINUTE, SECOND } from '../../clock.js'
 import type { Address, InstanceName } from '../../identifiers.js'
-import type { Leaving, Notice, NoticeMessage } from './types.js'
+import type { LeavingInstance, Notice, NoticeMessage } from './types.js'
 
-/** One row of the instance list, as far as it matters here. */
+/** The fields of an instance list entry that are used here. */
 export interface ListedInstance {
   readonly name: InstanceName
   readonly address: Address
   readonly state: 'live' | 'leaving'
 }
 
-/** The merged view of one node. */
+/** Leaving instances as known by one node. */
 export interface LeavingView {
-  /** Takes a notice in; true when it tells something new, so that it is worth passing on. */
+  /**
+   * Records a notice.
+   *
+   * @returns whether the notice contains something new and is to be forwarded to other nodes
+   */
   notice (notice: Notice, now: Milliseconds): boolean
-  /** Takes a reading of the instance list in; returns what is known to leave only since this reading. */
-  listed (instances: readonly ListedInstance[], now: Milliseconds): readonly Leaving[]
-  /** The notice about an incarnation, if it leaves. */
-  find (instance: InstanceName, address: Address): Leaving | undefined
-  all (): readonly Leaving[]
-  /** Notices worth telling a peer, as durations from `now`. */
+  /**
+   * Records the instance list.
+   *
+   * @returns the instances that are known to leave only since this list
+   */
+  listed (instances: readonly ListedInstance[], now: Milliseconds): readonly LeavingInstance[]
+  /** The leaving instance of this name and address, or undefined if the incarnation is not known to leave. */
+  find (instance: InstanceName, address: Address): LeavingInstance | undefined
+  /** All leaving instances. */
+  all (): readonly LeavingInstance[]
+  /** Notices to be sent to a peer, with durations relative to `now`. */
   messages (now: Milliseconds): readonly NoticeMessage[]
 }
 
-/** Notice assumed where no source tells a deadline: a few seconds is what the platform gives. */
-export const ASSUMED_NOTICE: Milliseconds = 3 * SECOND
+/** Notice period assumed if no source states a deadline. The platform gives a few seconds. */
+export const ASSUMED_NOTICE_PERIOD: Milliseconds = 3 * SECOND
 
-/** Longest notice that is believed; a deadline beyond it is taken as this far away. */
-export const LONGEST_NOTICE: Milliseconds = 10 * MINUTE
+/** Maximum notice period that is accepted. A later deadline is replaced by the end of this period. */
+export const MAX_NOTICE_PERIOD: Milliseconds = 10 * MINUTE
 
-/** Longest that the instance list is expected to lag behind reality. */
-export const LONGEST_LIST_LAG: Milliseconds = MINUTE
+/** Maximum time by which the instance list lags behind the actual state. */
+export const MAX_LIST_LAG: Milliseconds = MINUTE
 
-/** An earlier deadline is passed on only when it differs by this much. */
-const NOTABLE_CHANGE: Milliseconds = 250
+/** Minimum difference of an earlier deadline for it to be forwarded. */
+const MIN_DEADLINE_CHANGE: Milliseconds = 250
 
-interface Entry {
+/** State kept for a leaving instance. */
+interface LeavingEntry {
   readonly instance: InstanceName
   readonly address: Address | undefined
   readonly source: Notice['source']
   readonly noticedAt: Milliseconds
-  announced: Milliseconds | undefined
-  listedOnce: boolean
+  announcedDeadline: Milliseconds | undefined
+  wasListed: boolean
   absentSince: Milliseconds | undefined
 }
 
 /**
+ * Creates an empty view.
+ *
  * @example
  * const leaving = createLeavingView()
- * if (leaving.notice(notice, now)) passOn(notice)
- * leaving.find(instance.name, instance.address) !== undefined // gets nothing new
+ * if (leaving.notice(notice, now)) forward(notice)
+ * leaving.find(instance.name, instance.address) !== undefined // gets no new requests
  */
 export function createLeavingView (): LeavingView {
-  const entries = new Map<string, Entry>()
+  const entries = new Map<string, LeavingEntry>()
   const addresses = new Map<InstanceName, Address>()
-  const ended = new Map<string, Milliseconds>()
+  const endedAtByKey = new Map<string, Milliseconds>()
 
-  function notice (fresh: Notice, now: Milliseconds): boolean {
-    const address = fresh.address ?? addressOf(fresh)
-    const key = keyOf(fresh.instance, address)
-    if (isOutdated(fresh, key, now)) return false
-    const announced = plausible(fresh.deadline, now)
+  function notice (received: Notice, now: Milliseconds): boolean {
+    const address = received.address ?? addressOf(received)
+    const key = keyOf(received.instance, address)
+    if (isOutdated(received, key, now)) return false
+    const announcedDeadline = clampDeadline(received.deadline, now)
     const known = entries.get(key)
-    if (known !== undefined) return sooner(known, announced)
-    const listedOnce = address !== undefined && addresses.get(fresh.instance) === address
-    entries.set(key, { instance: fresh.instance, address, source: fresh.source, noticedAt: Math.min(fresh.noticedAt, now), announced, listedOnce, absentSince: undefined })
+    if (known !== undefined) return updateDeadline(known, announcedDeadline)
+    const wasListed = address !== undefined && addresses.get(received.instance) === address
+    entries.set(key, { instance: received.instance, address, source: received.source, noticedAt: Math.min(received.noticedAt, now), announcedDeadline, wasListed, absentSince: undefined })
     return true
   }
 
   /**
-   * Failure guarded against: a source that knows only names repeats the notice about a former
-   * incarnation, and the new one under this name would get no work. A notice that ends no later than
-   * one already known under the name is the same notice; anything else is about what is listed now.
+   * Failure guarded against: a source that knows only names repeats the notice about a former incarnation, and the
+   * new incarnation of the same name would get no requests. A notice whose deadline is not later than that of a known
+   * notice for the name counts as the same notice. Any other notice applies to the incarnation that is currently
+   * listed.
    */
-  function addressOf (fresh: Notice): Address | undefined {
+  function addressOf (received: Notice): Address | undefined {
     for (const entry of entries.values()) {
-      const same = entry.instance === fresh.instance && (fresh.deadline ?? Infinity) <= deadlineOf(entry) + NOTABLE_CHANGE
-      if (same) return entry.address
+      const isSameNotice = entry.instance === received.instance && (received.deadline ?? Infinity) <= deadlineOf(entry) + MIN_DEADLINE_CHANGE
+      if (isSameNotice) return entry.address
     }
-    return addresses.get(fresh.instance)
+    return addresses.get(received.instance)
   }
 
   /**
-   * Failure guarded against: a name is used again, and a peer that has not seen it yet repeats the
-   * notice about the former incarnation; the new one would get no work for good. Notices from
-   * before the end of the former incarnation are therefore dropped, and so are those whose time
-   * has passed long ago.
+   * Failure guarded against: a name is reused, and a peer that does not know this yet repeats the notice about the
+   * former incarnation. The new incarnation would never get any requests. Therefore notices from before the end of
+   * the former incarnation are dropped, and so are notices that expired long ago.
    */
-  function isOutdated (fresh: Notice, key: string, now: Milliseconds): boolean {
-    const endedAt = ended.get(key)
-    if (endedAt !== undefined && (fresh.noticedAt <= endedAt || (fresh.deadline ?? Infinity) <= endedAt)) return true
-    return (fresh.deadline ?? fresh.noticedAt) < now - LONGEST_LIST_LAG
+  function isOutdated (received: Notice, key: string, now: Milliseconds): boolean {
+    const endedAt = endedAtByKey.get(key)
+    if (endedAt !== undefined && (received.noticedAt <= endedAt || (received.deadline ?? Infinity) <= endedAt)) return true
+    return (received.deadline ?? received.noticedAt) < now - MAX_LIST_LAG
   }
 
-  function listed (instances: readonly ListedInstance[], now: Milliseconds): readonly Leaving[] {
+  function listed (instances: readonly ListedInstance[], now: Milliseconds): readonly LeavingInstance[] {
     const present = new Set<string>()
-    const found: Leaving[] = []
+    const found: LeavingInstance[] = []
     for (const instance of instances) {
       const key = keyOf(instance.name, instance.address)
       present.add(key)
-      adopt(instance)
-      if (instance.state === 'live') endFormer(key, now)
-      else if (notice({ instance: instance.name, address: instance.address, source: 'instance-list', noticedAt: now, deadline: undefined }, now)) found.push(toLeaving(entries.get(key) as Entry))
+      assignAddress(instance)
+      if (instance.state === 'live') endFormerIncarnation(key, now)
+      else if (notice({ instance: instance.name, address: instance.address, source: 'instance-list', noticedAt: now, deadline: undefined }, now)) found.push(toLeaving(entries.get(key) as LeavingEntry))
     }
-    for (const [key, entry] of entries) noteAbsence(key, entry, present, now)
-    forgetEnded(now)
+    for (const [key, entry] of entries) recordAbsence(key, entry, present, now)
+    discardEnded(now)
     return found
   }
 
-  /** A notice that came with a bare name is about the first incarnation that is seen under it. */
-  function adopt (instance: ListedInstance): void {
+  /** Assigns a notice without an address to the first incarnation that is listed under its name. */
+  function assignAddress (instance: ListedInstance): void {
     addresses.set(instance.name, instance.address)
     const key = keyOf(instance.name, instance.address)
-    const bare = entries.get(instance.name)
-    if (bare !== undefined) {
+    const nameOnly = entries.get(instance.name)
+    if (nameOnly !== undefined) {
       entries.delete(instance.name)
-      if (!entries.has(key)) entries.set(key, { ...bare, address: instance.address })
+      if (!entries.has(key)) entries.set(key, { ...nameOnly, address: instance.address })
     }
     const entry = entries.get(key)
-    if (entry !== undefined) entry.listedOnce = true
+    if (entry !== undefined) entry.wasListed = true
   }
 
   /**
-   * Failure guarded against: the list lags and shows a leaving instance as live, so work would go to
-   * it again. A `live` row ends a notice only as proof of a new incarnation: the instance was seen
-   * to be gone after its deadline, or it is still there when the deadline and the longest lag are over.
+   * Failure guarded against: the list lags and shows a leaving instance as live, so that it would get requests again.
+   * A `live` entry ends a notice only if it proves a new incarnation. Either the instance was missing from the list
+   * after its deadline, or it is still listed after the deadline plus the maximum lag.
    */
-  function endFormer (key: string, now: Milliseconds): void {
+  function endFormerIncarnation (key: string, now: Milliseconds): void {
     const entry = entries.get(key)
     if (entry === undefined) return
-    const returned = entry.absentSince !== undefined
-    const outlived = now > deadlineOf(entry) + LONGEST_LIST_LAG
-    if (!returned && !outlived) return
+    const hasReturned = entry.absentSince !== undefined
+    const hasOutlivedDeadline = now > deadlineOf(entry) + MAX_LIST_LAG
+    if (!hasReturned && !hasOutlivedDeadline) return
     entries.delete(key)
-    ended.set(key, now)
+    endedAtByKey.set(key, now)
   }
 
-  function noteAbsence (key: string, entry: Entry, present: ReadonlySet<string>, now: Milliseconds): void {
+  function recordAbsence (key: string, entry: LeavingEntry, present: ReadonlySet<string>, now: Milliseconds): void {
     if (present.has(key) || now < deadlineOf(entry)) return
-    if (entry.listedOnce) entry.absentSince ??= now
-    if (now > deadlineOf(entry) + LONGEST_NOTICE) entries.delete(key)
+    if (entry.wasListed) entry.absentSince ??= now
+    if (now > deadlineOf(entry) + MAX_NOTICE_PERIOD) entries.delete(key)
   }
 
-  function forgetEnded (now: Milliseconds): void {
-    for (const [key, at] of ended) {
-      if (at < now - LONGEST_NOTICE) ended.delete(key)
+  function discardEnded (now: Milliseconds): void {
+    for (const [key, at] of endedAtByKey) {
+      if (at < now - MAX_NOTICE_PERIOD) endedAtByKey.delete(key)
     }
   }
 
   function messages (now: Milliseconds): readonly NoticeMessage[] {
-    const recent = [...entries.values()].filter((entry) => deadlineOf(entry) >= now - LONGEST_LIST_LAG)
+    const recent = [...entries.values()].filter((entry) => deadlineOf(entry) >= now - MAX_LIST_LAG)
     return recent.map((entry) => toMessage(entry, now))
   }
 
@@ -170,12 +182,12 @@
 }
 
 /**
- * A peer's message as a notice by the local clock.
+ * Converts a peer's message to a notice with times of the local clock.
  *
  * @example
- * leaving.notice(fromMessage(message, clock.now()), clock.now())
+ * leaving.notice(noticeFromMessage(message, clock.now()), clock.now())
  */
-export function fromMessage (message: NoticeMessage, now: Milliseconds): Notice {
+export function noticeFromMessage (message: NoticeMessage, now: Milliseconds): Notice {
   return {
     instance: message.instance,
     address: message.address,
@@ -185,34 +197,34 @@
   }
 }
 
-function toMessage (entry: Entry, now: Milliseconds): NoticeMessage {
+function toMessage (entry: LeavingEntry, now: Milliseconds): NoticeMessage {
   return {
     instance: entry.instance,
     ...(entry.address === undefined ? {} : { address: entry.address }),
     ageMs: Math.max(0, Math.round(now - entry.noticedAt)),
-    ...(entry.announced === undefined ? {} : { remainingMs: Math.max(0, Math.round(entry.announced - now)) })
+    ...(entry.announcedDeadline === undefined ? {} : { remainingMs: Math.max(0, Math.round(entry.announcedDeadline - now)) })
   }
 }
 
-function sooner (known: Entry, announced: Milliseconds | undefined): boolean {
-  if (announced === undefined) return false
-  const notable = known.announced === undefined || announced < known.announced - NOTABLE_CHANGE
-  known.announced = Math.min(known.announced ?? Infinity, announced)
-  return notable
+function updateDeadline (known: LeavingEntry, announcedDeadline: Milliseconds | undefined): boolean {
+  if (announcedDeadline === undefined) return false
+  const isNotable = known.announcedDeadline === undefined || announcedDeadline < known.announcedDeadline - MIN_DEADLINE_CHANGE
+  known.announcedDeadline = Math.min(known.announcedDeadline ?? Infinity, announcedDeadline)
+  return isNotable
 }
 
-function plausible (deadline: Milliseconds | undefined, now: Milliseconds): Milliseconds | undefined {
+function clampDeadline (deadline: Milliseconds | undefined, now: Milliseconds): Milliseconds | undefined {
   if (deadline === undefined || Number.isNaN(deadline)) return undefined
-  return Math.min(Math.max(deadline, now), now + LONGEST_NOTICE)
+  return Math.min(Math.max(deadline, now), now + MAX_NOTICE_PERIOD)
 }
 
-function deadlineOf (entry: Entry): Milliseconds {
-  return entry.announced ?? entry.noticedAt + ASSUMED_NOTICE
+function deadlineOf (entry: LeavingEntry): Milliseconds {
+  return entry.announcedDeadline ?? entry.noticedAt + ASSUMED_NOTICE_PERIOD
 }
 
-function toLeaving (entry: Entry): Leaving {
+function toLeaving (entry: LeavingEntry): LeavingInstance {
   const { instance, address, source, noticedAt } = entry
-  return { instance, address, source, noticedAt, deadline: deadlineOf(entry), announced: entry.announced !== undefined }
+  return { instance, address, source, noticedAt, deadline: deadlineOf(entry), announced: entry.announcedDeadline !== undefined }
 }
 
 function keyOf (instance: InstanceName, address: Address | undefined): string {
--- a/src/upstream/reclaim/link.ts
+++ b/src/upstream/reclaim/link.ts
@@ -1,29 +1,32 @@
-/** How fast engines export caches, learnt from the exports this node has ordered. */
+/** Rate at which engines export their caches, estimated from the exports that this node has requested. */
 import type { Milliseconds } from '../../clock.js'
 import type { ExportLink } from './types.js'
 
-/** The learnt link. */
+/** Estimate of the link's rate. */
 export interface LinkEstimate {
-  /** One export that had the link to itself. */
+  /** Records an export that had the link to itself. */
   observe (tokens: number, duration: Milliseconds): void
+  /** The link with the estimated rate, or with the initial rate before the first export. */
   link (): ExportLink
-  /** Learnt rate; undefined before the first export. */
+  /** Estimated rate in tokens per millisecond. Undefined before the first export. */
   rate (): number | undefined
 }
 
-/** Before anything was seen: 128 KB a token on ten gigabits a second. */
-const PRIOR_RATE = 10
+/** Rate assumed before the first export, in tokens per millisecond: 128 KB per token at 10 Gbit/s. */
+const INITIAL_RATE = 10
 
-/** Time of an export's calls. */
-const SETUP: Milliseconds = 30
+/** Time that the calls of an export take, whatever its size. */
+const SETUP_TIME: Milliseconds = 30
 
 /** Weight of a new observation. */
-const STEP = 0.3
+const SMOOTHING_FACTOR = 0.3
 
-/** Smaller exports show the setup rather than the rate. */
-const FEWEST_TOKENS = 256
+/** Exports with fewer tokens are ignored, because their duration depends more on the setup time than on the rate. */
+const MIN_OBSERVED_TOKENS = 256
 
 /**
+ * Creates an estimate without observations.
+ *
  * @example
  * const estimate = createLinkEstimate()
  * estimate.observe(8_200, 850)
@@ -34,11 +37,11 @@
 
   return {
     observe: (tokens, duration) => {
-      if (tokens < FEWEST_TOKENS) return
-      const seen = tokens / Math.max(1, duration - SETUP)
-      rate = rate === undefined ? seen : rate + STEP * (seen - rate)
+      if (tokens < MIN_OBSERVED_TOKENS) return
+      const observedRate = tokens / Math.max(1, duration - SETUP_TIME)
+      rate = rate === undefined ? observedRate : rate + SMOOTHING_FACTOR * (observedRate - rate)
     },
-    link: () => ({ rate: rate ?? PRIOR_RATE, setup: SETUP, busyFor: 0 }),
+    link: () => ({ rate: rate ?? INITIAL_RATE, setup: SETUP_TIME, busyFor: 0 }),
     rate: () => rate
   }
 }
--- a/src/upstream/reclaim/targets.ts
+++ b/src/upstream/reclaim/targets.ts
@@ -1,56 +1,67 @@
-/** What the targets of a reclaim can still take while a plan is being made. */
+/** Remaining capacity of the targets of a reclaim while a plan is being made. */
 import type { Milliseconds } from '../../clock.js'
 import type { FailureDomain, UpstreamName } from '../../identifiers.js'
 import { score } from '../../membership/index.js'
 import type { OpenStream, ReclaimSituation, ReclaimTarget } from './types.js'
 
-/** A place for a stream's cache. */
+/** Place and time for the import of a stream's cache. */
 export interface ImportSlot {
   readonly target: UpstreamName
   readonly startAfter: Milliseconds
   readonly endAfter: Milliseconds
 }
 
-/** Targets with what this plan has put on them so far. */
+/** Remaining capacity of the targets, with the streams that the plan has assigned to them so far. */
 export interface TargetLedger {
-  /** Place and time for an export that ends soonest, in time for the class's target if possible. */
-  importSlot (stream: OpenStream, tokens: number, from: Milliseconds, until: Milliseconds): ImportSlot | undefined
-  takeImport (slot: ImportSlot, stream: OpenStream, tokens: number): void
-  /** Target for a recomputation, and the time from which it can begin; takes it. */
-  takeResume (stream: OpenStream): { target: UpstreamName, backlog: Milliseconds, prefill: Milliseconds } | undefined
+  /**
+   * Finds the import that ends earliest, preferring targets that meet the class's target for the whole answer.
+   *
+   * @returns undefined if no target has capacity for the import before `until`
+   */
+  findImportSlot (stream: OpenStream, tokens: number, from: Milliseconds, until: Milliseconds): ImportSlot | undefined
+  /** Reserves the capacity for an import. */
+  reserveImport (slot: ImportSlot, stream: OpenStream, tokens: number): void
+  /**
+   * Reserves capacity for a recomputation.
+   *
+   * @returns the target, the prefill time already planned there, and the prefill time of this stream; undefined if no
+   *   target has capacity
+   */
+  reserveResume (stream: OpenStream): { target: UpstreamName, backlog: Milliseconds, prefill: Milliseconds } | undefined
 }
 
-/** Share of a failure domain's upstreams that leave at once from which it counts as reclaimed whole. */
-const WAVE_SHARE = 0.5
+/** Share of a failure domain's upstreams that must be leaving for the whole domain to count as reclaimed. */
+const RECLAIMED_DOMAIN_SHARE = 0.5
 
 /**
- * At this many recomputed tokens per 1,000 generated ones a recomputed token weighs as much as the
- * time it takes to compute; a smaller target weighs it more.
+ * Number of recomputed tokens per 1,000 generated tokens at which a recomputed token weighs as much as the time to
+ * compute it. With a lower target, recomputed tokens weigh more.
  */
-const NEUTRAL_RECOMPUTED = 20
+const NEUTRAL_RECOMPUTED_TOKENS = 20
 
-interface Room {
+/** Remaining capacity of one target. */
+interface TargetState {
   readonly target: ReclaimTarget
-  /** Order of preference of this leaving upstream among equal targets. */
+  /** Preference of the leaving upstream among otherwise equal targets. */
   readonly rank: number
-  /** Whether exports of this upstream may go there. */
-  readonly allotted: boolean
+  /** Whether the leaving upstream may export to the target. */
+  readonly exportsAllowed: boolean
   readonly importRate: number
-  readonly freeCache: number
-  cache: number
-  places: number
+  readonly initialCacheTokens: number
+  freeCacheTokens: number
+  freeSlots: number
   importFreeAt: Milliseconds
   prefillBacklog: Milliseconds
 }
 
 /**
- * Failure domains of which at least half of the upstreams, and more than one, leave: a wave. What
- * still looks live there is likely to follow, so it is no target.
+ * Failure domains of which at least half of the upstreams, and more than one, are leaving. The remaining upstreams of
+ * such a domain are likely to leave too, so they are not used as targets.
  *
  * @example
- * domainsInWave(views) // ['zone-b']
+ * reclaimedDomains(views) // ['zone-b']
  */
-export function domainsInWave (members: readonly { readonly failureDomain: FailureDomain, readonly leaving: boolean }[]): readonly FailureDomain[] {
+export function reclaimedDomains (members: readonly { readonly failureDomain: FailureDomain, readonly leaving: boolean }[]): readonly FailureDomain[] {
   const counts = new Map<FailureDomain, { all: number, leaving: number }>()
   for (const member of members) {
     const count = counts.get(member.failureDomain) ?? { all: 0, leaving: 0 }
@@ -58,125 +69,129 @@
     count.leaving += Number(member.leaving)
     counts.set(member.failureDomain, count)
   }
-  return [...counts].filter(([, count]) => count.leaving > 1 && count.leaving >= count.all * WAVE_SHARE).map(([domain]) => domain).sort()
+  return [...counts].filter(([, count]) => count.leaving > 1 && count.leaving >= count.all * RECLAIMED_DOMAIN_SHARE).map(([domain]) => domain).sort()
 }
 
 /**
- * Weight of a recomputed token against the time to compute it, from the deployment's target.
+ * Weight of a recomputed token relative to the time to compute it. 1 is neutral.
  *
  * @example
  * recomputationWeight(10) // 2: the target allows half of the neutral number
  */
 export function recomputationWeight (recomputedPerThousandTokens: number): number {
-  return NEUTRAL_RECOMPUTED / recomputedPerThousandTokens
+  return NEUTRAL_RECOMPUTED_TOKENS / recomputedPerThousandTokens
 }
 
 /**
- * Targets that survive, with the part of each that this upstream may use. When several upstreams
- * leave at once, each plans without asking the others: all sort the same lists and take targets in
- * turn, so that no target is promised twice. With more leaving than targets, they share one evenly.
+ * Creates the capacity of the targets that are not leaving, reduced to the share that this upstream may use. When
+ * several upstreams leave at once, each one plans without communication with the others. All sort the same lists and
+ * take the targets in turn, so that no capacity is used twice. If there are more leaving upstreams than targets, they
+ * share each target evenly.
  *
  * @example
  * const ledger = createTargetLedger(situation)
  */
 export function createTargetLedger (situation: ReclaimSituation): TargetLedger {
-  const rooms = allot(situation)
+  const states = createTargetStates(situation)
   const weight = recomputationWeight(situation.recomputedPerThousandTokens)
 
-  function importSlot (stream: OpenStream, tokens: number, from: Milliseconds, until: Milliseconds): ImportSlot | undefined {
+  function findImportSlot (stream: OpenStream, tokens: number, from: Milliseconds, until: Milliseconds): ImportSlot | undefined {
     let best: { slot: ImportSlot, costs: readonly number[] } | undefined
-    for (const room of rooms) {
-      if (!room.allotted || room.places < 1 || room.cache < tokens + stream.remainingTokens) continue
-      const slot = slotAt(room, tokens, from, situation)
+    for (const state of states) {
+      if (!state.exportsAllowed || state.freeSlots < 1 || state.freeCacheTokens < tokens + stream.remainingTokens) continue
+      const slot = slotAt(state, tokens, from, situation)
       if (slot.endAfter > until) continue
-      const late = slot.endAfter + stream.remainingTokens * room.target.tokenTime > stream.slack
-      const costs = [Number(late), slot.endAfter, 1 - room.cache / room.freeCache, room.rank]
+      const late = slot.endAfter + stream.remainingTokens * state.target.tokenTime > stream.slack
+      const costs = [Number(late), slot.endAfter, 1 - state.freeCacheTokens / state.initialCacheTokens, state.rank]
       if (best === undefined || isLess(costs, best.costs)) best = { slot, costs }
     }
     return best?.slot
   }
 
-  function takeImport (slot: ImportSlot, stream: OpenStream, tokens: number): void {
-    const room = rooms.find((candidate) => candidate.target.upstream === slot.target)
-    if (room === undefined) return
-    room.importFreeAt = slot.endAfter
-    occupy(room, tokens + stream.remainingTokens)
+  function reserveImport (slot: ImportSlot, stream: OpenStream, tokens: number): void {
+    const state = states.find((candidate) => candidate.target.upstream === slot.target)
+    if (state === undefined) return
+    state.importFreeAt = slot.endAfter
+    reserve(state, tokens + stream.remainingTokens)
   }
 
-  function takeResume (stream: OpenStream): { target: UpstreamName, backlog: Milliseconds, prefill: Milliseconds } | undefined {
-    let best: { room: Room, prefill: Milliseconds, costs: readonly number[] } | undefined
+  function reserveResume (stream: OpenStream): { target: UpstreamName, backlog: Milliseconds, prefill: Milliseconds } | undefined {
+    let best: { state: TargetState, prefill: Milliseconds, costs: readonly number[] } | undefined
     const length = stream.promptTokens + stream.generatedTokens
-    for (const room of rooms) {
-      if (room.cache < length + stream.remainingTokens) continue
-      const missing = Math.max(0, length - hitAt(stream, room.target.upstream))
-      const prefill = missing / room.target.prefillRate
-      const ready = room.prefillBacklog + prefill
-      const late = ready + stream.remainingTokens * room.target.tokenTime > stream.slack
-      const costs = [Number(late), Number(room.places < 1), ready + weight * prefill, room.rank]
-      if (best === undefined || isLess(costs, best.costs)) best = { room, prefill, costs }
+    for (const state of states) {
+      if (state.freeCacheTokens < length + stream.remainingTokens) continue
+      const computedTokens = Math.max(0, length - cachedPrefixTokens(stream, state.target.upstream))
+      const prefill = computedTokens / state.target.prefillRate
+      const ready = state.prefillBacklog + prefill
+      const late = ready + stream.remainingTokens * state.target.tokenTime > stream.slack
+      const costs = [Number(late), Number(state.freeSlots < 1), ready + weight * prefill, state.rank]
+      if (best === undefined || isLess(costs, best.costs)) best = { state, prefill, costs }
     }
     if (best === undefined) return undefined
-    const { room, prefill } = best
-    const backlog = room.prefillBacklog
-    room.prefillBacklog += prefill
-    occupy(room, length + stream.remainingTokens)
-    return { target: room.target.upstream, backlog, prefill }
+    const { state, prefill } = best
+    const backlog = state.prefillBacklog
+    state.prefillBacklog += prefill
+    reserve(state, length + stream.remainingTokens)
+    return { target: state.target.upstream, backlog, prefill }
   }
 
-  return { importSlot, takeImport, takeResume }
+  return { findImportSlot, reserveImport, reserveResume }
 }
 
 /**
- * Tokens of a stream's prompt that are cached at an upstream besides the leaving one.
+ * Number of tokens of a stream's prompt that are cached at another upstream.
  *
  * @example
- * hitAt(stream, target.upstream)
+ * cachedPrefixTokens(stream, target.upstream)
  */
-export function hitAt (stream: OpenStream, upstream: UpstreamName): number {
+export function cachedPrefixTokens (stream: OpenStream, upstream: UpstreamName): number {
   return stream.prefixHits.find((hit) => hit.upstream === upstream)?.tokens ?? 0
 }
 
-function slotAt (room: Room, tokens: number, from: Milliseconds, situation: ReclaimSituation): ImportSlot {
-  const startAfter = Math.max(from, room.importFreeAt)
-  const duration = situation.link.setup + tokens / Math.min(situation.link.rate, room.importRate)
-  return { target: room.target.upstream, startAfter, endAfter: startAfter + duration }
+function slotAt (state: TargetState, tokens: number, from: Milliseconds, situation: ReclaimSituation): ImportSlot {
+  const startAfter = Math.max(from, state.importFreeAt)
+  const duration = situation.link.setup + tokens / Math.min(situation.link.rate, state.importRate)
+  return { target: state.target.upstream, startAfter, endAfter: startAfter + duration }
 }
 
-function occupy (room: Room, tokens: number): void {
-  room.cache -= tokens
-  room.places -= 1
+function reserve (state: TargetState, tokens: number): void {
+  state.freeCacheTokens -= tokens
+  state.freeSlots -= 1
 }
 
-function allot (situation: ReclaimSituation): Room[] {
+function createTargetStates (situation: ReclaimSituation): TargetState[] {
   const leaving = [...new Set([...situation.leaving, situation.upstream])].sort()
   const leavingSet = new Set(leaving)
   const domains = new Set(situation.leavingDomains)
   const staying = situation.targets
     .filter((target) => !target.leaving && !leavingSet.has(target.upstream) && !domains.has(target.failureDomain))
     .sort((left, right) => (left.upstream < right.upstream ? -1 : 1))
-  const turn = leaving.indexOf(situation.upstream)
-  return staying.map((target, index) => toRoom(situation, target, shareOf(index, turn, staying.length, leaving.length), leaving.length))
+  const position = leaving.indexOf(situation.upstream)
+  return staying.map((target, index) => toTargetState(situation, target, shareOf(index, position, staying.length, leaving.length), leaving.length))
 }
 
-/** Part of a target that the leaving upstream whose turn it is may fill; 0: it is another's. */
-function shareOf (index: number, turn: number, targets: number, leaving: number): number {
-  if (leaving <= targets) return index % leaving === turn ? 1 : 0
-  if (turn % targets !== index) return 0
+/**
+ * Share of a target that the leaving upstream may use for imports. 0 means that the target belongs to another leaving
+ * upstream.
+ */
+function shareOf (index: number, position: number, targets: number, leaving: number): number {
+  if (leaving <= targets) return index % leaving === position ? 1 : 0
+  if (position % targets !== index) return 0
   const users = Math.floor((leaving - 1 - index) / targets) + 1
   return 1 / users
 }
 
-function toRoom (situation: ReclaimSituation, target: ReclaimTarget, share: number, leaving: number): Room {
-  const part = share > 0 ? share : 1 / leaving
-  const freeCache = target.freeCacheTokens * part
+function toTargetState (situation: ReclaimSituation, target: ReclaimTarget, share: number, leaving: number): TargetState {
+  const fraction = share > 0 ? share : 1 / leaving
+  const initialCacheTokens = target.freeCacheTokens * fraction
   return {
     target,
     rank: score(situation.upstream, target.upstream),
-    allotted: share > 0,
-    importRate: target.importRate * part,
-    freeCache,
-    cache: freeCache,
-    places: Math.floor(target.freePlaces * part),
+    exportsAllowed: share > 0,
+    importRate: target.importRate * fraction,
+    initialCacheTokens,
+    freeCacheTokens: initialCacheTokens,
+    freeSlots: Math.floor(target.freeSlots * fraction),
     importFreeAt: 0,
     prefillBacklog: 0
   }
--- a/src/upstream/reclaim/types.ts
+++ b/src/upstream/reclaim/types.ts
@@ -1,100 +1,107 @@
-/** What is known of a reclaim, and what is planned for the streams it hits. */
+/** Types of a reclaim: notices, leaving instances, open streams, targets and plans. */
 import * as z from 'zod'
 import type { Milliseconds } from '../../clock.js'
 import { addressSchema, failureDomainSchema, instanceNameSchema, requestIdSchema, upstreamNameSchema } from '../../identifiers.js'
 import type { Address, FailureDomain, InstanceName, RequestId, UpstreamName } from '../../identifiers.js'
 
-/** Who said first that an instance leaves. */
+/** Source of the first notice that an instance is leaving. */
 export const noticeSourceSchema = z.enum(['cloud', 'instance-list', 'load-report', 'refusal', 'peer'])
 export type NoticeSource = z.infer<typeof noticeSourceSchema>
 
-/** One statement that an instance leaves. Points in time are of the local clock. */
+/** A notice that an instance is leaving. Times are of the local clock. */
 export interface Notice {
   readonly instance: InstanceName
-  /** Address of the incarnation that leaves; undefined where the source knows only the name. */
+  /** Address of the leaving incarnation. Undefined if the source knows only the name. */
   readonly address: Address | undefined
   readonly source: NoticeSource
-  /** When the first node heard of it. */
+  /** When the first node received the notice. */
   readonly noticedAt: Milliseconds
-  /** When the instance ends, where the source says so. */
+  /** When the instance ends. Undefined if the source does not state the end. */
   readonly deadline: Milliseconds | undefined
 }
 
-/** An instance that leaves, from the first notice on. */
-export interface Leaving {
+/** An instance that is leaving, from the first notice on. */
+export interface LeavingInstance {
   readonly instance: InstanceName
   readonly address: Address | undefined
   readonly source: NoticeSource
   readonly noticedAt: Milliseconds
-  /** Earliest plausible end. */
+  /** Earliest plausible end of the instance. */
   readonly deadline: Milliseconds
-  /** False: no source has told the deadline, it is assumed. */
+  /** Whether a source has stated the deadline. Otherwise it is assumed. */
   readonly announced: boolean
 }
 
-/** A notice between nodes. Durations instead of points in time: clocks of two processes differ. */
+/**
+ * Notice as sent between nodes. It contains durations instead of times, because the clocks of two processes differ.
+ */
 export const noticeMessageSchema = z.object({
   instance: instanceNameSchema,
   address: addressSchema.optional(),
-  /** Time since the first node heard of it. */
+  /** Time since the first node received the notice, in milliseconds. */
   ageMs: z.number().nonnegative(),
-  /** Time until the instance ends; absent when nobody was told. */
+  /** Time until the instance ends, in milliseconds. Absent if no source has stated the end. */
   remainingMs: z.number().nonnegative().optional()
 })
 export type NoticeMessage = z.infer<typeof noticeMessageSchema>
 
-/** Tokens of a prompt that an upstream is expected to have cached. */
+/** Number of tokens of a prompt that an upstream is expected to have cached. */
 export const prefixHitSchema = z.object({ upstream: upstreamNameSchema, tokens: z.number().int().nonnegative() })
 
-/** A stream that is open at a leaving upstream. Serializable: one node plans for the streams of several. */
+/** A stream that is open at a leaving upstream. It is serialisable, because one node plans the streams of several. */
 export const openStreamSchema = z.object({
   id: requestIdSchema,
-  /** False: it may finish or move by its handle, but never be started again from its prompt. */
+  /**
+   * Whether the stream may be started again from its prompt. Otherwise it may only finish, or move by its stream
+   * handle.
+   */
   idempotent: z.boolean(),
   promptTokens: z.number().int().nonnegative(),
-  /** Tokens of the answer that exist. */
+  /** Number of tokens generated so far. */
   generatedTokens: z.number().int().nonnegative(),
-  /** Estimated tokens still to come. */
+  /** Estimated number of tokens still to be generated. */
   remainingTokens: z.number().nonnegative(),
-  /** Tokens the leaving upstream holds in its cache for this stream; 0 before it began to run. */
+  /** Tokens that the leaving upstream has cached for this stream. 0 before the stream starts to run. */
   cachedTokens: z.number().int().nonnegative(),
   /** Time between two tokens at the leaving upstream, in milliseconds. */
   tokenTime: z.number().positive(),
-  /** Time until the class's target for the whole answer passes, in milliseconds; negative when it has passed. */
+  /**
+   * Time left to the class's target for the whole answer, in milliseconds. Negative if the target has been missed.
+   */
   slack: z.number(),
-  /** Where a part of the prompt is cached besides. */
+  /** Other upstreams that have cached a part of the prompt. */
   prefixHits: z.array(prefixHitSchema)
 })
 export type OpenStream = z.infer<typeof openStreamSchema>
 
-/** An upstream of the same service that may take streams over. */
+/** An upstream of the same service to which streams may move. */
 export interface ReclaimTarget {
   readonly upstream: UpstreamName
   readonly failureDomain: FailureDomain
   readonly leaving: boolean
-  /** Cache memory that can be filled, in tokens. */
+  /** Free cache memory, in tokens. */
   readonly freeCacheTokens: number
-  /** Streams it can run besides its own without making them wait. */
-  readonly freePlaces: number
-  /** Tokens of prompt computed per millisecond. */
+  /** Number of additional streams that it can run without making them wait. */
+  readonly freeSlots: number
+  /** Prompt tokens computed per millisecond. */
   readonly prefillRate: number
-  /** Time between two tokens at its present load, in milliseconds. */
+  /** Time between two tokens at its current load. */
   readonly tokenTime: Milliseconds
-  /** Tokens of cache it can import per millisecond. */
+  /** Cached tokens that it can import per millisecond. */
   readonly importRate: number
 }
 
-/** The link of a leaving instance, as learnt from earlier transfers. */
+/** The link of a leaving instance, as estimated from earlier transfers. */
 export interface ExportLink {
-  /** Tokens of cache sent per millisecond. */
+  /** Cached tokens sent per millisecond. */
   readonly rate: number
-  /** Time a transfer takes whatever its size, in milliseconds. */
+  /** Time that a transfer takes whatever its size. */
   readonly setup: Milliseconds
-  /** Time until exports that were planned before have ended, in milliseconds. */
+  /** Time until exports that were planned earlier have ended. */
   readonly busyFor: Milliseconds
 }
 
-/** Everything the plan for one leaving upstream depends on. */
+/** Input of the plan for one leaving upstream. */
 export interface ReclaimSituation {
   readonly upstream: UpstreamName
   readonly failureDomain: FailureDomain
@@ -102,22 +109,26 @@
   readonly link: ExportLink
   readonly streams: readonly OpenStream[]
   readonly targets: readonly ReclaimTarget[]
-  /** Upstreams of the service that leave at this time, this one included. */
+  /** Upstreams of the service that are leaving at the moment, including this one. */
   readonly leaving: readonly UpstreamName[]
   /** Failure domains that are being reclaimed as a whole. */
   readonly leavingDomains: readonly FailureDomain[]
-  /** The deployment's target; small: recomputed tokens weigh more than machine time. */
+  /**
+   * The deployment's target for recomputed tokens per 1,000 generated ones. With a low target, recomputed tokens
+   * weigh more than machine time.
+   */
   readonly recomputedPerThousandTokens: number
 }
 
 /**
- * What becomes of one stream.
- * - `finish`: it is expected to end before the deadline.
- * - `export`: its cache moves to the target; it continues there without recomputation. When the link
- *   turns out too slow, it becomes what `otherwise` says.
- * - `resume`: started again from prompt and tokens so far; no target: the scheduler chooses.
- * - `stay`: it must not be started again and no export fits; it runs until its upstream ends, and
- *   what is not whole by then is reported as lost.
+ * Plan for one stream.
+ * - `finish`: the stream is expected to end before the deadline.
+ * - `export`: its cache moves to the target, where it continues without recomputation. If the link is too slow, the
+ *   plan named by `otherwise` applies.
+ * - `resume`: it is started again from its prompt and the tokens generated so far. Without a target, the scheduler
+ *   chooses one.
+ * - `stay`: it must not be started again and no export fits. It runs until its upstream ends, and is reported as lost
+ *   if it is incomplete by then.
  */
 export const streamPlanSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('finish'), id: requestIdSchema }),
@@ -127,19 +138,19 @@
 ])
 export type StreamPlan = z.infer<typeof streamPlanSchema>
 
-/** A stream's request id beside its estimated worth on the link. */
+/** A possible export, with its cost on the link and its benefit. */
 export interface ExportCandidate {
   readonly id: RequestId
   /** Tokens to send. */
   readonly tokens: number
   /** Recomputed tokens that the export avoids. */
-  readonly saved: number
-  /** Time on the link, in milliseconds. */
+  readonly savedTokens: number
+  /** Expected time on the link. */
   readonly duration: Milliseconds
-  /** True when nothing but an export can save the stream. */
+  /** Whether the export is the only way to save the stream. */
   readonly required: boolean
   readonly slack: Milliseconds
 }
 
-/** Failure domain of an upstream, for the detection of domain-wide reclaims. */
+/** Failure domain of an upstream, used to detect reclaims of whole domains. */
 export const domainMemberSchema = z.object({ failureDomain: failureDomainSchema, leaving: z.boolean() })
--- a/test/upstream/learning.test.ts
+++ b/test/upstream/learning.test.ts
@@ -1,4 +1,4 @@
-/** What is learnt about upstreams: speeds, caches, places, pace, and the part that one node uses. */
+/** Estimates about upstreams: speed, cache content, slots, decode concurrency, and the subset that a node uses. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -7,10 +7,10 @@
 import { createEngineEstimate, createQuantileEstimate, partialView } from '../../src/upstream/index.js'
 import type { UpstreamView } from '../../src/upstream/index.js'
 import { createUpstreamLoad } from '../../src/upstream/load.js'
-import { createPace } from '../../src/upstream/pace.js'
+import { createConcurrencyLimit } from '../../src/upstream/decode-concurrency.js'
 import { createPrefixIndex } from '../../src/upstream/prefix-index.js'
 
-const NOWHERE = upstreamNameSchema.parse('engine-0')
+const UPSTREAM = upstreamNameSchema.parse('engine-0')
 
 function view (index: number): UpstreamView {
   return {
@@ -25,12 +25,12 @@
 }
 
 function report (running: number, waiting: number) {
-  return { upstream: NOWHERE, running, waiting, cacheUsed: 0, ageMs: 0, leaving: false, models: [], adapters: [], role: 'mixed' as const, generation: 0 }
+  return { upstream: UPSTREAM, running, waiting, cacheUsed: 0, ageMs: 0, leaving: false, models: [], adapters: [], role: 'mixed' as const, generation: 0 }
 }
 
-test('one measurement a thousand times too large does not move an estimate by more than a step', () => {
-  // A paused process answers after a minute. With a mean, every class would look unattainable and be
-  // refused until a thousand good answers had washed it out.
+test('one measurement a thousand times too large moves an estimate by at most one step', () => {
+  // A paused process answers only after a minute. A mean would stay too high for about a thousand answers, and every
+  // class would be refused as unattainable until then.
   fc.assert(fc.property(fc.array(fc.integer({ min: 80, max: 120 }), { minLength: 100, maxLength: 200 }), (measurements) => {
     const estimate = createQuantileEstimate(0.5, 20)
     for (const measurement of measurements) estimate.observe(measurement)
@@ -51,22 +51,22 @@
   assert.ok(Math.abs(estimate.prefillTime() - 0.05) < 0.02)
 })
 
-test('a prefix index forgets what was evicted and trusts itself less after a gap', () => {
-  // Cache events come late and some are lost; a prompt sent on the strength of an old one is computed
-  // in full at an engine that was chosen for nothing.
+test('a prefix index removes evicted blocks and lowers its confidence after a gap', () => {
+  // Cache events arrive late and some are lost. A prompt sent because of an outdated entry is recomputed in full at
+  // an upstream that was chosen for its cache.
   const index = createPrefixIndex()
   index.sent(['a', 'b', 'c'])
   assert.equal(index.expected(['a', 'b', 'c', 'd']), 3)
   index.changed([], ['c'], false)
   assert.equal(index.expected(['a', 'b', 'c', 'd']), 2)
   index.changed([], [], true)
-  assert.ok(index.trust() < 1)
-  const before = index.trust()
+  assert.ok(index.confidence() < 1)
+  const before = index.confidence()
   index.answered(2, 0)
-  assert.ok(index.trust() < before)
+  assert.ok(index.confidence() < before)
 })
 
-test('a guess never changes what a prefix index expects', () => {
+test('the hint does not change the result of a prefix index', () => {
   const blocks = ['a', 'b', 'c', 'd', 'e', 'f']
   fc.assert(fc.property(fc.nat(blocks.length), fc.nat(blocks.length), (held, guess) => {
     const index = createPrefixIndex()
@@ -75,39 +75,39 @@
   }), { seed: 1 })
 })
 
-test('a request that waits for the next step of an engine does not shrink its places', () => {
-  // Engines admit between two steps, so a report may show one waiting beside free places. Each such
-  // report would cost a place, until the engine ran half empty.
+test('a request that waits for the next step of an engine does not lower the estimated slots', () => {
+  // Engines admit requests between two steps, so a report may show a waiting request although slots are free. If each
+  // such report lowered the estimate, the engine would end up half empty.
   const load = createUpstreamLoad(0)
   load.reported(report(24, 3), 1, Infinity, 0, createRandom(1))
   for (let time = 1; time < 100; time += 1) load.reported(report(15, 1), 1, Infinity, time, createRandom(1))
   assert.equal(load.slots(), 24)
 })
 
-test('a new engine that makes no progress gets a few requests, not a share', () => {
-  // A replacement is listed while it still loads weights: it takes requests and holds them.
+test('a new engine that makes no progress gets only a few requests', () => {
+  // A new instance is listed while it still loads its weights. It accepts requests without running them.
   const load = createUpstreamLoad(0)
   let sent = 0
-  while (load.hasRoom({ share: 1, spare: 0, cap: Infinity }, false, 0)) {
+  while (load.hasCapacity({ share: 1, spare: 0, maxRunning: Infinity }, false, 0)) {
     load.sent(100, 0)
     sent += 1
   }
   assert.ok(sent <= 4, `${sent} requests`)
 })
 
-test('answers that are too slow lower the number that runs, until they are fast enough', () => {
-  // An engine with memory for 64 answers decodes all 64 too slowly; no queue shows it.
-  const pace = createPace()
+test('slow answers lower the concurrency limit until the target is met', () => {
+  // An engine with memory for 64 answers decodes 64 answers too slowly, and no queue shows it.
+  const concurrencyLimit = createConcurrencyLimit()
   for (let index = 0; index < 2_000; index += 1) {
-    const running = Math.min(64, pace.cap())
-    pace.observed(running < 48, 0.95, running)
+    const running = Math.min(64, concurrencyLimit.limit())
+    concurrencyLimit.answerObserved(running < 48, 0.95, running)
   }
-  assert.ok(pace.cap() > 30 && pace.cap() < 50, `cap ${pace.cap()}`)
+  assert.ok(concurrencyLimit.limit() > 30 && concurrencyLimit.limit() < 50, `cap ${concurrencyLimit.limit()}`)
 })
 
-test('a part of the upstreams covers every failure domain and changes by one when one goes', () => {
-  // A node that lost its whole part with one failure domain, or took a new part at each change, would
-  // drop what it knows of loads and caches.
+test('a partial view covers every failure domain and changes little when an upstream is removed', () => {
+  // If a node lost its whole subset with one failure domain, or selected a new subset at each change, it would lose
+  // what it has learnt about loads and caches.
   const views = Array.from({ length: 600 }, (_, index) => view(index))
   const before = partialView('entry-17', views, 48)
   const domains = new Set(before.map((each) => each.failureDomain))
--- a/test/upstream/partial-view.test.ts
+++ b/test/upstream/partial-view.test.ts
@@ -1,4 +1,4 @@
-/** What a node follows of a large fleet. */
+/** The subset of a large service's upstreams that a node uses. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { createScheduler } from '../../src/admission/index.js'
@@ -11,25 +11,25 @@
 const views = Array.from({ length: SERVERS }, (_, index) => view(index))
 
 /*
- * At 600 servers a node that asked each for its load every second would spend its time and its bytes on
- * nothing else. It follows a part, and must send only where it looks: an upstream whose load it never
- * hears of would be chosen blindly.
+ * With 600 servers, a node that polled the load of each one every second would use too much bandwidth and time. It
+ * polls only a subset and must send requests only to upstreams in this subset, because it knows the load of no
+ * others.
  */
-test('a node sends only to upstreams that it follows, and together the nodes use every upstream', () => {
+test('a node sends only to upstreams that it polls, and together the nodes use every upstream', () => {
   const used = new Set<string>()
   for (let node = 0; node < NODES; node += 1) {
-    const followed = new Set(usedUpstreams(`entry-${node}`, views, NODES).map((each) => each.name))
-    assert.ok(followed.size <= 20, `${followed.size} upstreams are followed`)
-    for (const name of followed) used.add(name)
+    const polled = new Set(usedUpstreams(`entry-${node}`, views, NODES).map((each) => each.name))
+    assert.ok(polled.size <= 20, `${polled.size} upstreams are polled`)
+    for (const name of polled) used.add(name)
   }
   assert.equal(used.size, SERVERS)
   const scheduler = createScheduler({ random: createRandom(1), node: 'entry-17' })
   scheduler.handle({ kind: 'configured', configuration }, 0)
   scheduler.handle({ kind: 'nodes', count: NODES }, 0)
   scheduler.handle({ kind: 'upstreams', upstreams: views }, 0)
-  const followed = new Set(usedUpstreams('entry-17', views, NODES).map((each) => each.name))
+  const polled = new Set(usedUpstreams('entry-17', views, NODES).map((each) => each.name))
   const effects = Array.from({ length: 12 }, (_, number) => scheduler.handle({ kind: 'arrived', attempt: attempt(number) }, 0)).flat()
-  const sent = effects.flatMap((effect) => effect.kind === 'dispatch' ? [effect.upstream] : [])
-  assert.ok(sent.length > 0, 'nothing was sent')
-  assert.ok(sent.every((name) => followed.has(name)), 'sent to an upstream that is not followed')
+  const dispatched = effects.flatMap((effect) => effect.kind === 'dispatch' ? [effect.upstream] : [])
+  assert.ok(dispatched.length > 0, 'no request was dispatched')
+  assert.ok(dispatched.every((name) => polled.has(name)), 'dispatched to an upstream that is not polled')
 })
--- a/test/upstream/reclaim/plan.test.ts
+++ b/test/upstream/reclaim/plan.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check'
 import { SECOND } from '../../../src/clock.js'
 import { failureDomainSchema, requestIdSchema, upstreamNameSchema } from '../../../src/identifiers.js'
-import { domainsInWave, planReclaim } from '../../../src/upstream/reclaim/index.js'
+import { reclaimedDomains, planReclaim } from '../../../src/upstream/reclaim/index.js'
 import type { OpenStream, ReclaimSituation, ReclaimTarget, StreamPlan } from '../../../src/upstream/reclaim/index.js'
 
 const NOW = 1_000
@@ -30,7 +30,7 @@
     failureDomain: failureDomainSchema.parse(`zone-${index % 3}`),
     leaving: false,
     freeCacheTokens: 60_000,
-    freePlaces: 8,
+    freeSlots: 8,
     prefillRate: 10,
     tokenTime: 34,
     importRate: 10,
@@ -105,7 +105,7 @@
   }), RUNS)
 })
 
-test('nothing moves to an upstream or a failure domain that leaves, nor beyond a target\'s room', () => {
+test('nothing moves to a leaving upstream or failure domain, nor beyond a target\'s capacity', () => {
   fc.assert(fc.property(situations, (one) => {
     const used = new Map<string, { tokens: number, streams: number }>()
     for (const plan of planReclaim(one, NOW)) {
@@ -117,7 +117,7 @@
       use.tokens += plan.kind === 'export' ? open.cachedTokens : open.promptTokens + open.generatedTokens
       use.streams += Number(plan.kind === 'export')
       used.set(chosen.upstream, use)
-      assert.ok(use.tokens <= chosen.freeCacheTokens && use.streams <= chosen.freePlaces)
+      assert.ok(use.tokens <= chosen.freeCacheTokens && use.streams <= chosen.freeSlots)
     }
   }), RUNS)
 })
@@ -139,7 +139,7 @@
   }), RUNS)
 })
 
-test('upstreams that leave together promise no target twice', () => {
+test('upstreams that leave together do not use the same target capacity twice', () => {
   fc.assert(fc.property(streams, targets, fc.integer({ min: 2, max: 6 }), (open, all, count) => {
     const leaving = Array.from({ length: count }, (_, index) => upstreamNameSchema.parse(`leaving-${index}`))
     const used = new Map<string, number>()
@@ -153,32 +153,32 @@
   }), RUNS)
 })
 
-// A user would see a long plan begin again from its prompt although most of the notice was unused.
-// Four streams of equal size share the link: two at a time would both miss the deadline.
-test('what fits into the notice is moved whole instead of everything in part', () => {
+// Visible effect: a long stream starts again from its prompt although most of the notice period was unused. Four
+// streams of equal size share the link. If two exports ran at a time, both would miss the deadline.
+test('exports that fit into the notice period are completed instead of all being started', () => {
   const plans = planReclaim(situation({ streams: [1, 2, 3, 4].map((index) => stream(index)), deadline: NOW + 2 * SECOND }), NOW)
   assert.equal(exportsOf(plans).length, 2)
   assert.equal(plans.filter((plan) => plan.kind === 'resume').length, 2)
 })
 
-test('an answer that ends in time is left alone, and a stream without a cache moves at once', () => {
+test('a stream that ends in time is not moved, and a stream without a cache moves immediately', () => {
   const plans = planReclaim(situation({ streams: [stream(1, { remainingTokens: 10 }), stream(2, { cachedTokens: 0 })], recomputedPerThousandTokens: 100 }), NOW)
   assert.equal(plans.find((plan) => plan.id === stream(1).id)?.kind, 'finish')
   const waiting = plans.find((plan) => plan.id === stream(2).id)
   assert.ok(waiting?.kind === 'resume' && waiting.startAfter === 0)
 })
 
-test('a deployment that weighs cost more lets streams run on before they are computed again', () => {
-  const hopeless = { streams: [stream(1)], targets: [target(1, { freePlaces: 0 })] }
-  const [frugal] = planReclaim(situation({ ...hopeless, recomputedPerThousandTokens: 40 }), NOW)
-  const [strict] = planReclaim(situation({ ...hopeless, recomputedPerThousandTokens: 5 }), NOW)
-  assert.ok(frugal?.kind === 'resume' && frugal.startAfter > 5 * SECOND)
-  assert.ok(strict?.kind === 'resume' && strict.startAfter === 0)
+test('a deployment that weighs cost more lets streams run on before they are recomputed', () => {
+  const withoutFreeSlots = { streams: [stream(1)], targets: [target(1, { freeSlots: 0 })] }
+  const [costWeighted] = planReclaim(situation({ ...withoutFreeSlots, recomputedPerThousandTokens: 40 }), NOW)
+  const [tokensWeighted] = planReclaim(situation({ ...withoutFreeSlots, recomputedPerThousandTokens: 5 }), NOW)
+  assert.ok(costWeighted?.kind === 'resume' && costWeighted.startAfter > 5 * SECOND)
+  assert.ok(tokensWeighted?.kind === 'resume' && tokensWeighted.startAfter === 0)
 })
 
-test('a failure domain counts as reclaimed whole from half of several upstreams on', () => {
+test('a failure domain counts as reclaimed if at least half of its upstreams, and more than one, are leaving', () => {
   const members = (leaving: number, all: number, zone: string) => Array.from({ length: all }, (_, index) => ({ failureDomain: failureDomainSchema.parse(zone), leaving: index < leaving }))
-  assert.deepEqual(domainsInWave([...members(1, 2, 'zone-a'), ...members(2, 4, 'zone-b'), ...members(2, 5, 'zone-c')]), ['zone-b'])
+  assert.deepEqual(reclaimedDomains([...members(1, 2, 'zone-a'), ...members(2, 4, 'zone-b'), ...members(2, 5, 'zone-c')]), ['zone-b'])
 })
 
 function exportsOf (plans: readonly StreamPlan[]): Extract<StreamPlan, { kind: 'export' }>[] {
