--- a/bench/gateway-placement.ts
+++ b/bench/gateway-placement.ts
@@ -6,8 +6,8 @@
  */
 import type { Milliseconds } from '../src/clock.js'
 import { SECOND } from '../src/clock.js'
-import { ASSUMED_SPEED, chooseUpstream, ENGINE_COSTS, lifeOf, readingTime } from '../src/placement/index.js'
-import type { Candidate, PlacementCosts, Work } from '../src/placement/index.js'
+import { ASSUMED_SPEED, chooseUpstream, ENGINE_COSTS, incarnationOf, prefillTime } from '../src/placement/index.js'
+import type { Candidate, PlacementCosts, PlacementRequest } from '../src/placement/index.js'
 import { createRandom } from '../src/random.js'
 import type { Random } from '../src/random.js'
 import type { Bench, Table } from './table.js'
@@ -45,8 +45,8 @@
 ]
 
 const VARIANTS: readonly Variant[] = [
-  { name: 'all candidates', costs: { ...ENGINE_COSTS, homes: Infinity } },
-  ...[2, 3, 4, 6].map((homes): Variant => ({ name: `first ${homes} homes`, costs: { ...ENGINE_COSTS, homes } }))
+  { name: 'all candidates', costs: { ...ENGINE_COSTS, preferredUpstreams: Infinity } },
+  ...[2, 3, 4, 6].map((homes): Variant => ({ name: `first ${homes} homes`, costs: { ...ENGINE_COSTS, preferredUpstreams: homes } }))
 ]
 
 const SEEDS = 12
@@ -129,11 +129,11 @@
   return { inTime: inTime / counted, reading: readingSum / counted }
 }
 
-function workOf (kind: typeof PLAN, isPlan: boolean, random: Random): Work {
+function workOf (kind: typeof PLAN, isPlan: boolean, random: Random): PlacementRequest {
   const own = Math.max(20, Math.round(kind.own * Math.exp(SIGMA * normal(random) - SIGMA * SIGMA / 2)))
   // A few subjects get most requests.
   const subject = Math.floor(kind.subjects * random.fraction() ** 2)
-  return { service: 's', parts: [{ id: `${isPlan ? 'plan' : 'question'}-${subject}`, tokens: kind.shared }, { id: 'own', tokens: own }], promptTokens: kind.shared + own, target: kind.target, bound: isPlan }
+  return { service: 's', parts: [{ id: `${isPlan ? 'plan' : 'question'}-${subject}`, tokens: kind.shared }, { id: 'own', tokens: own }], promptTokens: kind.shared + own, target: kind.target, lostOnReclaim: isPlan }
 }
 
 /** What a node takes an engine's load for: its own as it is, that of others as it was. */
@@ -147,14 +147,14 @@
     // A node takes the reading of others as going on since it heard of it.
     if (request.readAt > asOf) reading += Math.max(0, request.reading - (now - asOf))
   }
-  return { upstream: { id: engine.id, life: lifeOf(engine.id, undefined), service: 's', version: '', address: '', failureDomain: 'a', slots: 64, leaving: false, leavesIn: undefined, reclaimable: false }, load: { requests, reading } }
+  return { upstream: { id: engine.id, incarnation: incarnationOf(engine.id, undefined), service: 's', version: '', address: '', failureDomain: 'a', slots: 64, leaving: false, leavesIn: undefined, reclaimable: false }, load: { requests, reading } }
 }
 
-function send (engine: Engine, work: Work, node: number, now: Milliseconds, run: Milliseconds): { reading: Milliseconds, readAt: Milliseconds } {
+function send (engine: Engine, work: PlacementRequest, node: number, now: Milliseconds, run: Milliseconds): { reading: Milliseconds, readAt: Milliseconds } {
   const shared = work.parts[0]!
   const isKept = (engine.kept.get(shared.id) ?? -Infinity) > now - KEPT
   engine.kept.set(shared.id, now)
-  const reading = isKept ? readingTime(work.promptTokens - shared.tokens, shared.tokens, ASSUMED_SPEED) : readingTime(work.promptTokens, 0, ASSUMED_SPEED)
+  const reading = isKept ? prefillTime(work.promptTokens - shared.tokens, shared.tokens, ASSUMED_SPEED) : prefillTime(work.promptTokens, 0, ASSUMED_SPEED)
   const readAt = Math.max(now, engine.freeAt) + reading
   engine.freeAt = readAt
   engine.open.push({ node, since: now, reading, readAt, endsAt: readAt + run })
--- a/src/backpressure/departures.ts
+++ b/src/backpressure/departures.ts
@@ -9,11 +9,11 @@
 import * as z from 'zod'
 import { SECOND } from '../clock.js'
 import type { Milliseconds } from '../clock.js'
-import { upstreamLifeSchema } from '../placement/index.js'
-import type { UpstreamLife } from '../placement/index.js'
+import { upstreamIncarnationSchema } from '../placement/index.js'
+import type { UpstreamIncarnation } from '../placement/index.js'
 
 /** Incarnations whose departure a node learnt from their own responses. */
-export const reportedDeparturesSchema = z.array(upstreamLifeSchema)
+export const reportedDeparturesSchema = z.array(upstreamIncarnationSchema)
 export type ReportedDepartures = z.infer<typeof reportedDeparturesSchema>
 
 /** The departures that one node knows of. */
@@ -23,9 +23,9 @@
    *
    * @returns whether the departure was not known before
    */
-  heard (incarnation: UpstreamLife, now: Milliseconds): boolean
+  heard (incarnation: UpstreamIncarnation, now: Milliseconds): boolean
   /** Whether the incarnation is known to be leaving. */
-  isLeaving (incarnation: UpstreamLife): boolean
+  isLeaving (incarnation: UpstreamIncarnation): boolean
   /** Departures that this node learnt from responses within the last 30 seconds, to be reported to other nodes. */
   told (now: Milliseconds): ReportedDepartures
   /**
@@ -33,7 +33,7 @@
    *
    * @returns the incarnations that were not known before
    */
-  observe (others: readonly ReportedDepartures[]): UpstreamLife[]
+  observe (others: readonly ReportedDepartures[]): UpstreamIncarnation[]
 }
 
 /** Time for which a node reports a departure. By the end of it every node that was present has received the report. */
@@ -50,10 +50,10 @@
  * departures.heard(incarnation, clock.now())
  */
 export function createDepartures (): Departures {
-  const leaving = new Set<UpstreamLife>()
-  const heardAt = new Map<UpstreamLife, Milliseconds>()
+  const leaving = new Set<UpstreamIncarnation>()
+  const heardAt = new Map<UpstreamIncarnation, Milliseconds>()
 
-  function add (incarnation: UpstreamLife): boolean {
+  function add (incarnation: UpstreamIncarnation): boolean {
     if (leaving.has(incarnation)) return false
     leaving.add(incarnation)
     const [oldest] = leaving
--- a/src/backpressure/pauses.ts
+++ b/src/backpressure/pauses.ts
@@ -1,13 +1,13 @@
 /** Pauses that upstreams request from this node when they refuse a request (Retry-After). */
 import type { Milliseconds } from '../clock.js'
-import type { UpstreamLife } from '../placement/index.js'
+import type { UpstreamIncarnation } from '../placement/index.js'
 
 /** Pauses that upstreams have requested from this node. */
 export interface RequestedPauses {
   /** Records that the upstream wants no requests from this node for `retryAfter` milliseconds. */
-  heard (incarnation: UpstreamLife, retryAfter: Milliseconds, now: Milliseconds): void
+  heard (incarnation: UpstreamIncarnation, retryAfter: Milliseconds, now: Milliseconds): void
   /** Milliseconds until the upstream accepts requests from this node again. 0 if it does now. */
-  wait (incarnation: UpstreamLife, now: Milliseconds): Milliseconds
+  wait (incarnation: UpstreamIncarnation, now: Milliseconds): Milliseconds
 }
 
 /**
@@ -18,7 +18,7 @@
  * pauses.heard(incarnation, 2_000, clock.now())
  */
 export function createRequestedPauses (): RequestedPauses {
-  const ends = new Map<UpstreamLife, Milliseconds>()
+  const ends = new Map<UpstreamIncarnation, Milliseconds>()
   return {
     heard: (incarnation, retryAfter, now) => {
       for (const [known, end] of ends) if (end <= now) ends.delete(known)
--- a/src/backpressure/rate-limits.ts
+++ b/src/backpressure/rate-limits.ts
@@ -10,11 +10,11 @@
 import { SECOND } from '../clock.js'
 import type { Milliseconds } from '../clock.js'
 import { score } from '../membership/rendezvous.js'
-import { upstreamLifeSchema } from '../placement/index.js'
-import type { UpstreamLife } from '../placement/index.js'
+import { upstreamIncarnationSchema } from '../placement/index.js'
+import type { UpstreamIncarnation } from '../placement/index.js'
 
 /** Limits that a node has received from upstreams, by incarnation. Exchanged between nodes. */
-export const reportedLimitsSchema = z.record(upstreamLifeSchema, z.object({
+export const reportedLimitsSchema = z.record(upstreamIncarnationSchema, z.object({
   /** Requests per second. Missing if the upstream no longer names a limit. */
   rate: z.number().optional(),
   /** Milliseconds since the response that named this limit was received. */
@@ -32,7 +32,7 @@
 
 /** A changed limit of one upstream. `limit` is undefined if the upstream has no limit any more. */
 export interface RateLimitChange {
-  readonly incarnation: UpstreamLife
+  readonly incarnation: UpstreamIncarnation
   readonly limit: NodeRateLimit | undefined
 }
 
@@ -44,7 +44,7 @@
    * @param sentAt when the request of this response was sent
    * @returns the change, or undefined if nothing changed for this node
    */
-  heard (incarnation: UpstreamLife, rate: number | undefined, sentAt: Milliseconds, now: Milliseconds): RateLimitChange | undefined
+  heard (incarnation: UpstreamIncarnation, rate: number | undefined, sentAt: Milliseconds, now: Milliseconds): RateLimitChange | undefined
   /** Limits that this node learnt from responses within the last 30 seconds, to be reported to other nodes. */
   told (now: Milliseconds): ReportedLimits
   /**
@@ -63,13 +63,13 @@
    * Milliseconds until this node may send a request to the upstream. 0 if it may now. If the whole limit is assigned
    * to other nodes, at most the mean time between two of their requests.
    */
-  wait (incarnation: UpstreamLife, now: Milliseconds): Milliseconds
+  wait (incarnation: UpstreamIncarnation, now: Milliseconds): Milliseconds
   /** Whether this node may send a request to the upstream now. */
-  allows (incarnation: UpstreamLife, now: Milliseconds): boolean
+  allows (incarnation: UpstreamIncarnation, now: Milliseconds): boolean
   /** Records that this node sends a request to the upstream. */
-  taken (incarnation: UpstreamLife, now: Milliseconds): void
+  taken (incarnation: UpstreamIncarnation, now: Milliseconds): void
   /** Incarnations that currently have a limit. */
-  all (): readonly UpstreamLife[]
+  all (): readonly UpstreamIncarnation[]
 }
 
 /**
@@ -141,11 +141,11 @@
  * limits.allows(incarnation, clock.now())
  */
 export function createRateLimits (node: string): RateLimits {
-  const limits = new Map<UpstreamLife, KnownLimit>()
+  const limits = new Map<UpstreamIncarnation, KnownLimit>()
   const lastSeen = new Map<string, Milliseconds>()
   let nodes: readonly string[] = []
 
-  function updateLimit (incarnation: UpstreamLife, rate: number | undefined, at: Milliseconds, isDirect: boolean, now: Milliseconds): RateLimitChange | undefined {
+  function updateLimit (incarnation: UpstreamIncarnation, rate: number | undefined, at: Milliseconds, isDirect: boolean, now: Milliseconds): RateLimitChange | undefined {
     const known = limits.get(incarnation)
     const rank = rankFor(incarnation)
     const pause = rate === undefined || rank === undefined ? undefined : pauseFor(rate, rank)
@@ -162,7 +162,7 @@
     if (limits.size > MAX_INCARNATIONS && oldest !== undefined) limits.delete(oldest)
   }
 
-  function rankFor (incarnation: UpstreamLife): number | undefined {
+  function rankFor (incarnation: UpstreamIncarnation): number | undefined {
     if (!nodes.includes(node)) return undefined
     const ownScore = score(incarnation, node)
     return nodes.filter((name) => name !== node && score(incarnation, name) > ownScore).length
@@ -187,7 +187,7 @@
    * If the whole limit is assigned to other nodes, a caller that retries after the mean interval reaches one of them
    * when it may send.
    */
-  function wait (incarnation: UpstreamLife, now: Milliseconds): Milliseconds {
+  function wait (incarnation: UpstreamIncarnation, now: Milliseconds): Milliseconds {
     const limit = limits.get(incarnation)
     if (limit?.rate === undefined) return 0
     const ownWait = Math.max(0, nextAttemptAt(limit) - now)
@@ -210,7 +210,7 @@
       const changes: (RateLimitChange | undefined)[] = []
       for (const report of others) {
         for (const [name, { rate, age }] of Object.entries(report)) {
-          const incarnation = name as UpstreamLife
+          const incarnation = name as UpstreamIncarnation
           const known = limits.get(incarnation)
           const isNewer = known === undefined ? rate !== undefined : now - age > known.at + MAX_REPORT_DELAY
           if (isNewer) changes.push(updateLimit(incarnation, rate, now - age, false, now))
@@ -249,7 +249,7 @@
 export function mergeLimits (reports: readonly ReportedLimits[]): ReportedLimits {
   const merged: ReportedLimits = {}
   for (const [name, limit] of reports.flatMap((report) => Object.entries(report))) {
-    const incarnation = name as UpstreamLife
+    const incarnation = name as UpstreamIncarnation
     const known = merged[incarnation]
     if (known === undefined || limit.age < known.age) merged[incarnation] = limit
   }
--- a/src/gateway/attempt-records.ts
+++ b/src/gateway/attempt-records.ts
@@ -41,11 +41,11 @@
       pauseUpstream(context, upstream, reason)
       return
     case 'full':
-      upstreams.health.full(upstream.life, clock.now())
+      upstreams.health.full(upstream.incarnation, clock.now())
       return
     case 'another-upstream':
       // Another upstream uses the address now. The registry will report the change as well.
-      upstreams.forget(upstream.life)
+      upstreams.forget(upstream.incarnation)
       break
     case 'refused':
   }
@@ -78,7 +78,7 @@
  * recordCompleteAnswer(context, passage, upstream)
  */
 export function recordCompleteAnswer (context: GatewayContext, passage: ProxiedRequest, upstream: UpstreamRecord): void {
-  context.upstreams.health.answered(upstream.life)
+  context.upstreams.health.answered(upstream.incarnation)
   context.quarantine.answered(passage.fingerprint, context.clock.now())
 }
 
@@ -104,8 +104,8 @@
 /** Counts a failure against the upstream's health. Logs only the start of a pause, not each further failure during the pause. */
 function pauseUpstream ({ upstreams, clock, log }: GatewayContext, upstream: UpstreamRecord, reason: string): void {
   const now = clock.now()
-  if (upstreams.health.usable(upstream.life, now)) log.info('upstream-paused', { upstream: upstream.id, reason })
-  upstreams.health.failed(upstream.life, now)
+  if (upstreams.health.usable(upstream.incarnation, now)) log.info('upstream-paused', { upstream: upstream.id, reason })
+  upstreams.health.failed(upstream.incarnation, now)
 }
 
 function logLateAnswer (context: GatewayContext, passage: ProxiedRequest, upstream: UpstreamRecord, waited: Milliseconds): void {
@@ -121,6 +121,6 @@
     sends: passage.tried.size,
     promptTokens: accepted.head.tokens?.prompt,
     // Requests and milliseconds of prefill at each candidate. An asterisk marks the upstream that answers.
-    loads: candidates.map(({ load, upstream: candidate }) => `${candidate.life === upstream.life ? '*' : ''}${load.requests}/${Math.round(load.reading)}`).join(' ')
+    loads: candidates.map(({ load, upstream: candidate }) => `${candidate.incarnation === upstream.incarnation ? '*' : ''}${load.requests}/${Math.round(load.reading)}`).join(' ')
   })
 }
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -1,7 +1,7 @@
 /** One attempt of a request at one upstream, including the relay of its answer. */
 import type { Milliseconds } from '../clock.js'
-import { readingTime } from '../placement/index.js'
-import type { Choice, ReadingSample, UpstreamRecord } from '../placement/index.js'
+import { prefillTime } from '../placement/index.js'
+import type { Choice, PrefillSample, UpstreamRecord } from '../placement/index.js'
 import { ServingError } from '../verdict.js'
 import type { Verdict } from '../verdict.js'
 import type { AnswerOutcome } from './accounting.js'
@@ -37,7 +37,7 @@
   readonly watchdog: Watchdog
   readonly isTimedOut: () => boolean
   /** Sample of the engine's prefill speed, completed by the first event; undefined if that time includes other delays. */
-  readonly prefillSample: Omit<ReadingSample, 'took'> | undefined
+  readonly prefillSample: Omit<PrefillSample, 'took'> | undefined
   readonly since: Milliseconds
   /** Evidence about the upstream's version; undefined if no versions are being compared. */
   readonly comparison: VersionObservation | undefined
@@ -93,8 +93,8 @@
   const { upstream, reading, waiting } = choice
   const controller = new AbortController()
   const comparison = memory === undefined ? context.rollouts.begin(proxied.accepted.route.name, upstream) : undefined
-  const open = context.upstreams.begin(upstream.life, reading, context.clock.now())
-  if (reading >= LONG_PREFILL) context.announcePrefill(upstream.life, reading)
+  const open = context.upstreams.begin(upstream.incarnation, reading, context.clock.now())
+  if (reading >= LONG_PREFILL) context.announcePrefill(upstream.incarnation, reading)
   const watchdog = startWatchdog(context.clock, firstAnswerTimeout(proxied.accepted.route, waiting + reading, context.speeds.of(proxied.service).base), () => {
     if (mayRetry(context, proxied, 'may-have-run')) controller.abort()
   })
@@ -130,7 +130,7 @@
   const { tokens } = accepted.head
   if (tokens === undefined) return 0
   const speed = speeds.of(service)
-  return speed.base + waiting + (side === 'tried' ? readingTime(tokens.prompt, 0, speed) : reading)
+  return speed.base + waiting + (side === 'tried' ? prefillTime(tokens.prompt, 0, speed) : reading)
 }
 
 /** Reports the time to the complete answer, or to the first event of a stream, to the comparison of versions. */
--- a/src/gateway/backpressure.ts
+++ b/src/gateway/backpressure.ts
@@ -3,7 +3,7 @@
 import type { RateLimitChange, ReportedDepartures, ReportedLimits, UpstreamSignals } from '../backpressure/index.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import type { EventLog } from '../events/index.js'
-import type { UpstreamLife, UpstreamRecord } from '../placement/index.js'
+import type { UpstreamIncarnation, UpstreamRecord } from '../placement/index.js'
 import type { UpstreamAvailability, UpstreamView } from './upstream-view.js'
 
 /** Backpressure of upstreams as one node reports it to the others. */
@@ -17,9 +17,9 @@
   /** Processes the signals in an upstream's answer to a request sent at `sentAt`. */
   heard (upstream: UpstreamRecord, signals: UpstreamSignals, sentAt: Milliseconds): void
   /** Records that a request of this node is sent to the upstream. */
-  taken (life: UpstreamLife, now: Milliseconds): void
+  taken (life: UpstreamIncarnation, now: Milliseconds): void
   /** Returns the time until the upstream accepts a request of this node; 0 if it does now. */
-  wait (life: UpstreamLife, now: Milliseconds): Milliseconds
+  wait (life: UpstreamIncarnation, now: Milliseconds): Milliseconds
   /** Returns the report for the other nodes. */
   told (): BackpressureReport
   /** Processes the reports of the other nodes. */
@@ -63,23 +63,23 @@
     }
   }
 
-  function markLeaving (life: UpstreamLife, source: SignalSource): void {
+  function markLeaving (life: UpstreamIncarnation, source: SignalSource): void {
     const record = upstreams().find(life)
     if (record === undefined || !upstreams().noteLeaving(life)) return
     log.info('upstream-says-leaving', { upstream: record.id, service: record.service, source })
   }
 
   function recordPause (upstream: UpstreamRecord, retryAfter: Milliseconds, now: Milliseconds): void {
-    pauses.heard(upstream.life, retryAfter, now)
+    pauses.heard(upstream.incarnation, retryAfter, now)
     log.info('upstream-asks-pause', { upstream: upstream.id, service: upstream.service, retryAfter: Math.round(retryAfter) })
   }
 
   return {
     heard: (upstream, signals, sentAt) => {
       const now = clock.now()
-      const change = limits.heard(upstream.life, signals.rateLimit, sentAt, now)
+      const change = limits.heard(upstream.incarnation, signals.rateLimit, sentAt, now)
       if (change !== undefined) logLimits([change], 'answer')
-      if (signals.leaving && departures.heard(upstream.life, now)) markLeaving(upstream.life, 'answer')
+      if (signals.leaving && departures.heard(upstream.incarnation, now)) markLeaving(upstream.incarnation, 'answer')
       if (signals.retryAfter !== undefined) recordPause(upstream, signals.retryAfter, now)
     },
     isLeaving: departures.isLeaving,
--- a/src/gateway/context.ts
+++ b/src/gateway/context.ts
@@ -1,7 +1,7 @@
 /** State and services shared by the modules of a gateway node. */
 import type { Clock, Milliseconds } from '../clock.js'
 import type { EventLog } from '../events/index.js'
-import type { EngineSpeeds, UpstreamLife } from '../placement/index.js'
+import type { EngineSpeeds, UpstreamIncarnation } from '../placement/index.js'
 import type { Quarantine } from '../quarantine/index.js'
 import type { QuotaLimiter, RetryBudget } from '../quota/index.js'
 import type { Random } from '../random.js'
@@ -60,7 +60,7 @@
   /** Returns the budget that limits further attempts at a service. */
   readonly retryBudget: (service: string) => RetryBudget
   /** Notifies other nodes of a long prompt that was just sent to an upstream. */
-  readonly announcePrefill: (upstream: UpstreamLife, prefill: Milliseconds) => void
+  readonly announcePrefill: (upstream: UpstreamIncarnation, prefill: Milliseconds) => void
   /** Routes of the configuration in force; undefined until a configuration is known. */
   readonly routeTable: () => RouteTable | undefined
   /** Wall-clock time agreed between the nodes, unaffected by steps of this instance's clock. */
--- a/src/gateway/evacuation.ts
+++ b/src/gateway/evacuation.ts
@@ -8,7 +8,7 @@
  */
 import type { Clock, Milliseconds } from '../clock.js'
 import type { EventLog } from '../events/index.js'
-import type { UpstreamLife, UpstreamRecord } from '../placement/index.js'
+import type { UpstreamIncarnation, UpstreamRecord } from '../placement/index.js'
 import type { EngineCalls, MoveOutcome } from './ports.js'
 
 /** Upstream at which a run continues. */
@@ -47,7 +47,7 @@
   readonly log: EventLog
   readonly calls: EngineCalls
   /** Chooses the upstream at which a run continues; undefined if none is available. */
-  readonly chooseTarget: (source: UpstreamRecord, excluded: ReadonlySet<UpstreamLife>) => UpstreamRecord | undefined
+  readonly chooseTarget: (source: UpstreamRecord, excluded: ReadonlySet<UpstreamIncarnation>) => UpstreamRecord | undefined
   /** Takes one attempt from the service's retry budget; false if the budget is used up. */
   readonly mayMove: (service: string) => boolean
   /** Cancels scheduled moves. */
@@ -84,14 +84,14 @@
  */
 export function createEvacuation (options: EvacuationOptions): Evacuation {
   const { clock, log, calls, signal } = options
-  const runs = new Map<UpstreamLife, Set<Run>>()
+  const runs = new Map<UpstreamIncarnation, Set<Run>>()
 
   async function move (source: UpstreamRecord, run: Run): Promise<RunLocation> {
-    const tried = new Set([source.life])
+    const tried = new Set([source.incarnation])
     while (tried.size <= MAX_TARGETS) {
       const target = options.chooseTarget(source, tried)
       if (target === undefined || !options.mayMove(source.service)) return NOT_MOVED
-      tried.add(target.life)
+      tried.add(target.incarnation)
       const start = clock.now()
       let outcome: MoveOutcome
       try {
@@ -112,20 +112,20 @@
 
   async function evacuate (source: UpstreamRecord, leavesIn: Milliseconds): Promise<void> {
     await clock.sleep(Math.max(0, leavesIn - MOVE_LEAD_TIME), signal)
-    for (const run of runs.get(source.life) ?? []) run.move ??= move(source, run)
+    for (const run of runs.get(source.incarnation) ?? []) run.move ??= move(source, run)
   }
 
   return {
     watch: (upstream, request, signal) => {
-      const upstreamRuns = runs.get(upstream.life) ?? new Set()
+      const upstreamRuns = runs.get(upstream.incarnation) ?? new Set()
       const run: Run = { request, signal, move: undefined }
       upstreamRuns.add(run)
-      runs.set(upstream.life, upstreamRuns)
+      runs.set(upstream.incarnation, upstreamRuns)
       return {
         location: async () => run.move === undefined ? NOT_MOVED : await run.move,
         end: () => {
           upstreamRuns.delete(run)
-          if (upstreamRuns.size === 0 && runs.get(upstream.life) === upstreamRuns) runs.delete(upstream.life)
+          if (upstreamRuns.size === 0 && runs.get(upstream.incarnation) === upstreamRuns) runs.delete(upstream.incarnation)
         }
       }
     },
--- a/src/gateway/exchange.ts
+++ b/src/gateway/exchange.ts
@@ -9,7 +9,7 @@
 import type { Dispatcher } from 'undici'
 import type { UpstreamSignals } from '../backpressure/index.js'
 import type { Clock, Milliseconds } from '../clock.js'
-import type { UpstreamLife, UpstreamRecord } from '../placement/index.js'
+import type { UpstreamIncarnation, UpstreamRecord } from '../placement/index.js'
 import { connectionFailure } from '../protocols/http.js'
 import { addressSchema } from '../identifiers.js'
 import type { AnswerHead, Headers, RequestFormat } from './ports.js'
@@ -51,7 +51,7 @@
   /** Sends a request. Never rejects. Aborting the signal closes the connection. */
   start (upstream: UpstreamRecord, request: UpstreamRequest, signal: AbortSignal): Promise<ExchangeStart>
   /** Closes the pools of all other incarnations. Exchanges that are in progress there finish first. */
-  closeExcept (incarnations: ReadonlySet<UpstreamLife>): void
+  closeExcept (incarnations: ReadonlySet<UpstreamIncarnation>): void
   /** Returns the number of open connections. */
   open (): number
   /** Sets the maximum number of connections to each upstream of a service. Applies to pools that are created later. */
@@ -102,11 +102,11 @@
 export function createUpstreamConnections (format: RequestFormat, clock: Clock, onConnect: (took: Milliseconds) => void, onSignals: (upstream: UpstreamRecord, signals: UpstreamSignals, sentAt: Milliseconds) => void): UpstreamConnections {
   const connector = buildConnector({ timeout: CONNECT_TIMEOUT })
 
-  const pools = new Map<UpstreamLife, IncarnationPool>()
+  const pools = new Map<UpstreamIncarnation, IncarnationPool>()
   const limits = new Map<string, number>()
 
   function poolOf (upstream: UpstreamRecord): Pool {
-    const existing = pools.get(upstream.life)
+    const existing = pools.get(upstream.incarnation)
     if (existing?.address === upstream.address) return existing.pool
     existing?.pool.close().catch(() => {})
     const pool = new Pool(`http://${upstream.address}`, {
@@ -118,7 +118,7 @@
       headersTimeout: 0,
       bodyTimeout: 0
     })
-    pools.set(upstream.life, { address: upstream.address, pool })
+    pools.set(upstream.incarnation, { address: upstream.address, pool })
     return pool
   }
 
--- a/src/gateway/fleet.ts
+++ b/src/gateway/fleet.ts
@@ -1,12 +1,12 @@
 /** Membership of this node in the fleet: records and states of the other nodes, and the peers that this node exchanges with. */
 import type { Server } from 'node:http'
 import type { Milliseconds } from '../clock.js'
-import { chooseAddresses, createSharedWall, EQUALS, orderFor, pickAggregators } from '../gossip/index.js'
-import type { FleetReport, NodeState, Reachable } from '../gossip/index.js'
-import type { InFlight, UpstreamLife } from '../placement/index.js'
+import { chooseAddresses, createSharedWallClock, MAX_FULL_MESH_NODES, aggregatorOrderFor, pickAggregators } from '../gossip/index.js'
+import type { FleetReport, NodeState, ReachableNode } from '../gossip/index.js'
+import type { InFlight, UpstreamIncarnation } from '../placement/index.js'
 import { createConnections } from '../protocols/http.js'
 import type { BrokenRuns } from '../quarantine/index.js'
-import { UNKNOWN_NODES } from '../quota/index.js'
+import { ASSUMED_NODES } from '../quota/index.js'
 import type { UsageCounts } from '../usage/index.js'
 import type { ConfigurationWatcher } from './configuration-watcher.js'
 import type { StoreContext } from './follow.js'
@@ -52,7 +52,7 @@
   /** Wall-clock time that the nodes agree on, in milliseconds. */
   wall (): Milliseconds
   /** Notifies other nodes of a prompt that was dispatched to an upstream and needs this prefill time there. */
-  announcePrefill (upstream: UpstreamLife, prefill: Milliseconds): void
+  announcePrefill (upstream: UpstreamIncarnation, prefill: Milliseconds): void
   /** Removes this node's record from the store; an aggregator exchanges its state with some peers at once. */
   withdraw (): Promise<void>
   /** Closes the connections to other nodes. */
@@ -122,7 +122,7 @@
     }
   }))
   const self: NodeRecord = { ...options.self, peer }
-  const wall = createSharedWall()
+  const wall = createSharedWallClock()
   const connections = createConnections(MAX_CONNECTIONS_PER_PEER)
   const link = createPeerLinks(connections, { sent: 0, received: 0 })
   const reachable = createReachablePeers(clock, log, signal)
@@ -165,7 +165,7 @@
 
   /** Reports to an aggregator. A node that reaches none exchanges states as an aggregator does, so that any peer that answers keeps it up to date. */
   async function reportOrExchange (): Promise<void> {
-    const aggregator = isSelectedAggregator() ? undefined : await reporter.report(orderFor(self, aggregators()).map((record) => record.peer))
+    const aggregator = isSelectedAggregator() ? undefined : await reporter.report(aggregatorOrderFor(self, aggregators()).map((record) => record.peer))
     logRoleChange(aggregator)
     if (aggregator === undefined) gossip.exchangeOnce()
   }
@@ -208,7 +208,7 @@
   /** Includes registered nodes unless their state says that they aren't ready, and unregistered nodes only if their state says that they are. */
   function addresses (caller: string): readonly string[] {
     const states = new Map(directlyReceivedStates().map((state) => [state.name, state]))
-    const known = new Map<string, Reachable>(records.all().filter(({ name }) => name !== self.name && states.get(name)?.ready !== false).map((record) => [record.name, record]))
+    const known = new Map<string, ReachableNode>(records.all().filter(({ name }) => name !== self.name && states.get(name)?.ready !== false).map((record) => [record.name, record]))
     for (const { name, front, processor, ready } of states.values()) if (ready) known.set(name, { name, front, processor })
     if (options.isReady()) known.set(self.name, self)
     return chooseAddresses(caller, [...known.values()], options.maxAddresses)
@@ -220,7 +220,7 @@
   }
 
   function knownNodeCount (): number {
-    return Math.max(records.isLoaded() ? 1 : UNKNOWN_NODES, records.all().length, others().reduce((sum, { nodes }) => sum + nodes, 1))
+    return Math.max(records.isLoaded() ? 1 : ASSUMED_NODES, records.all().length, others().reduce((sum, { nodes }) => sum + nodes, 1))
   }
 
   return {
@@ -228,10 +228,10 @@
     loads,
     // In a fleet with members the states of dead nodes are left out. The sums of a dead aggregator contain its members,
     // which report to another aggregator by then and would count twice.
-    brokenRuns: () => (records.all().length > EQUALS ? others() : gossip.table.all()).map(({ crashes }) => crashes),
+    brokenRuns: () => (records.all().length > MAX_FULL_MESH_NODES ? others() : gossip.table.all()).map(({ crashes }) => crashes),
     usage: (window) => usageByIncarnation([...gossip.table.all(), ...gossip.members.all()], window),
     memberUsage: (window) => usageByIncarnation(gossip.members.all(), window),
-    maxSilence: () => gossip.table.oldest(clock.now()),
+    maxSilence: () => gossip.table.maxSilence(clock.now()),
     maxNodeCount: () => Math.max(knownNodeCount(), records.all().length + records.departedCount()),
     knownNodeCount,
     nodeNames,
@@ -239,7 +239,7 @@
     addresses,
     wall: () => wall.at(clock.wall(), clock.now()),
     announcePrefill: (upstream, prefill) => {
-      if (records.all().length > EQUALS && prefill < MIN_ANNOUNCED_PREFILL) return
+      if (records.all().length > MAX_FULL_MESH_NODES && prefill < MIN_ANNOUNCED_PREFILL) return
       gossip.announcePrefill(upstream, prefill, isMember() ? currentAggregator : undefined)
     },
     withdraw: async () => {
--- a/src/gateway/forwarding.ts
+++ b/src/gateway/forwarding.ts
@@ -6,7 +6,7 @@
 import { readBody } from '../caller/http.js'
 import type { Milliseconds } from '../clock.js'
 import { chooseUpstream, ENGINE_COSTS, PLAIN_COSTS } from '../placement/index.js'
-import type { Choice, Work } from '../placement/index.js'
+import type { Choice, PlacementRequest } from '../placement/index.js'
 import { chooseService } from '../routing/index.js'
 import { toServingError } from '../verdict.js'
 import type { ServingError } from '../verdict.js'
@@ -103,7 +103,7 @@
   let continuation: Continuation | undefined
   for (;;) {
     const choice = continuation === undefined ? await waitForUpstream(context, proxied) : continuationChoice(continuation)
-    proxied.tried.add(choice.upstream.life)
+    proxied.tried.add(choice.upstream.incarnation)
     proxied.upstream = choice.upstream.id
     const result = await dispatchAttempt(context, proxied, choice, continuation?.reference)
     continuation = undefined
@@ -149,7 +149,7 @@
  * otherwise 0. A request that cannot be sent in time is refused at once, with this time as its `Retry-After`.
  */
 function backpressureWait ({ clock, upstreams, backpressure }: GatewayContext, { service, tried }: ProxiedRequest): Milliseconds {
-  const waits = upstreams.notLeaving(service, tried).map(({ life }) => backpressure.wait(life, clock.now()))
+  const waits = upstreams.notLeaving(service, tried).map(({ incarnation: life }) => backpressure.wait(life, clock.now()))
   return waits.length === 0 ? 0 : Math.min(...waits)
 }
 
@@ -170,14 +170,14 @@
 function tryChooseUpstream (context: GatewayContext, proxied: ProxiedRequest): Choice | undefined {
   const now = context.clock.now()
   const { head, route } = proxied.accepted
-  const work: Work = { service: proxied.service, parts: head.parts, promptTokens: head.tokens?.prompt ?? 0, target: route.target, bound: route.kind === 'stream' && !route.resumable }
+  const work: PlacementRequest = { service: proxied.service, parts: head.parts, promptTokens: head.tokens?.prompt ?? 0, target: route.target, lostOnReclaim: route.kind === 'stream' && !route.resumable }
   const hasEngines = context.routeTable()?.service(proxied.service)?.hasEngines === true
   proxied.side ??= context.rollouts.side(proxied.service)
   // A request that failed at the version being rolled out is retried at the version that already serves.
   const side = proxied.tried.size === 0 ? proxied.side : 'serving'
   const candidates = context.upstreams.candidates(proxied.service, proxied.tried, now, (present) => context.rollouts.admit(proxied.service, side, present))
   const choice = chooseUpstream(work, candidates, context.settings, hasEngines ? ENGINE_COSTS : PLAIN_COSTS, context.speeds.of(proxied.service))
-  if (choice !== undefined) context.backpressure.taken(choice.upstream.life, now)
+  if (choice !== undefined) context.backpressure.taken(choice.upstream.incarnation, now)
   return choice
 }
 
--- a/src/gateway/gossip-exchange.ts
+++ b/src/gateway/gossip-exchange.ts
@@ -2,9 +2,9 @@
 import { boundSignal } from '../bound-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import { createGossipTable, gossipMessageSchema, mergeReports } from '../gossip/index.js'
-import type { AggregatorAnswer, FleetReport, GossipMessage, GossipTable, MemberMessage, News, NodeState, SharedWall } from '../gossip/index.js'
+import type { AggregatorAnswer, FleetReport, GossipMessage, GossipTable, MemberMessage, StoreUpdate, NodeState, SharedWallClock } from '../gossip/index.js'
 import type { EventLog } from '../events/index.js'
-import type { UpstreamLife } from '../placement/index.js'
+import type { UpstreamIncarnation } from '../placement/index.js'
 import type { Random } from '../random.js'
 import { pack, unpack } from './packing.js'
 import type { PeerHandlers, PeerLink, PrefillNotice } from './peer-link.js'
@@ -14,7 +14,7 @@
 export interface GossipExchangeOptions {
   readonly incarnation: string
   /** Receives the wall-clock times that messages carry. */
-  readonly wall: SharedWall
+  readonly wall: SharedWallClock
   readonly clock: Clock
   readonly random: Random
   readonly log: EventLog
@@ -35,7 +35,7 @@
   /** Called with the text of a peer's newer configuration and the peer's address. */
   readonly offerConfiguration: (text: string, source: string) => void
   /** Store updates that a member lacks, given the revisions that it has. */
-  readonly updatesFor: (known: Readonly<Record<string, number>>) => News[]
+  readonly updatesFor: (known: Readonly<Record<string, number>>) => StoreUpdate[]
   /** Called after each exchange that brought a new state. */
   readonly heard: () => void
 }
@@ -53,7 +53,7 @@
   /** Fetches the configuration of a peer if its version is higher than the version in force here. */
   fetchConfiguration (address: string, peerVersion: number, signal: AbortSignal): Promise<void>
   /** Notifies other nodes at once of a dispatched prompt and its prefill time: through the aggregator if one is given, else directly. */
-  announcePrefill (upstream: UpstreamLife, prefill: Milliseconds, aggregator: string | undefined): void
+  announcePrefill (upstream: UpstreamIncarnation, prefill: Milliseconds, aggregator: string | undefined): void
   /** Forwards a notice of another node to the nodes that `passTo` names. */
   forwardPrefillNotice (notice: PrefillNotice): void
   /** Exchanges states with some peers at once, for a change that can't wait for the next period. */
@@ -108,7 +108,7 @@
   function applyMessage (message: GossipMessage): void {
     const now = clock.now()
     wall.observe(message.from, message.wall, now)
-    if (table.take(message, now).length > 0) options.heard()
+    if (table.receive(message, now).length > 0) options.heard()
   }
 
   async function exchangeWith (address: string): Promise<void> {
@@ -167,7 +167,7 @@
 
   function answerMember ({ state, wall: memberWall, known }: MemberMessage): AggregatorAnswer {
     const now = clock.now()
-    members.take({ from: state.incarnation, versions: {}, states: [state], ages: {} }, now)
+    members.receive({ from: state.incarnation, versions: {}, states: [state], ages: {} }, now)
     wall.observe(state.incarnation, memberWall, now)
     const otherMembers = members.live(now).filter(({ incarnation: other }) => other !== state.incarnation)
     const aggregatorSums = sumsWithoutMembers(now)
--- a/src/gateway/node-records.ts
+++ b/src/gateway/node-records.ts
@@ -136,7 +136,7 @@
     if (record === undefined) return log.warn('node-record-unreadable', { key, value: value.slice(0, 100) })
     if (records.get(record.name)?.incarnation !== record.incarnation) log.info('node-known', { node: record.name, incarnation: record.incarnation, front: record.front })
     records.set(record.name, record)
-    departedNodes.back(record.name)
+    departedNodes.returned(record.name)
   }
 
   return {
--- a/src/gateway/node.ts
+++ b/src/gateway/node.ts
@@ -164,8 +164,8 @@
     chooseTarget: (source, excluded) => {
       const { service } = source
       const candidates = upstreams.candidates(service, excluded, clock.now(), (present) => present.filter((target) => rollouts.mayMove(source, target)))
-      const target = chooseUpstream({ service, parts: [], promptTokens: 0, target: Infinity, bound: true }, candidates, settings, ENGINE_COSTS, speeds.of(service))?.upstream
-      if (target !== undefined) backpressure.taken(target.life, clock.now())
+      const target = chooseUpstream({ service, parts: [], promptTokens: 0, target: Infinity, lostOnReclaim: true }, candidates, settings, ENGINE_COSTS, speeds.of(service))?.upstream
+      if (target !== undefined) backpressure.taken(target.incarnation, clock.now())
       return target
     },
     mayMove: (service) => retryBudget(service).take(clock.now()),
@@ -260,7 +260,7 @@
       granted: quotas.granted(now),
       inFlight: upstreams.inFlight(now),
       work: work.rates(now),
-      speeds: speeds.own(),
+      speeds: speeds.ownEstimates(),
       usage: Object.fromEntries(windows.map((window) => [window, usage.counts(window)])),
       crashes: quarantine.own(now),
       rollouts: rollouts.told(),
@@ -272,7 +272,7 @@
   function applyReports (): void {
     const others = fleet.others()
     upstreams.observe(fleet.loads(), clock.now())
-    speeds.hear(others.map((report) => report.speeds))
+    speeds.receive(others.map((report) => report.speeds))
     quarantine.observe(fleet.brokenRuns())
     rollouts.observe(others.map((report) => report.rollouts))
     backpressure.observe(others)
@@ -286,7 +286,7 @@
     const nodes = fleet.maxNodeCount()
     const others = fleet.others()
     quotas.observe(others, nodes)
-    for (const budget of budgets.values()) budget.share(nodes)
+    for (const budget of budgets.values()) budget.setNodeCount(nodes)
     if (nodes === sharedAmong) return
     sharedAmong = nodes
     limitConnections()
@@ -307,7 +307,7 @@
 
   function createBudget (knownFleet: Fleet): RetryBudget {
     const budget = createRetryBudget(bounds.retryBudget)
-    budget.share(knownFleet.maxNodeCount())
+    budget.setNodeCount(knownFleet.maxNodeCount())
     return budget
   }
 
--- a/src/gateway/peer-link.ts
+++ b/src/gateway/peer-link.ts
@@ -7,7 +7,7 @@
 import { createHTTPServer } from '@trpc/server/adapters/standalone'
 import { gossipMessageSchema, memberMessageSchema } from '../gossip/index.js'
 import type { AggregatorAnswer, GossipMessage, MemberMessage } from '../gossip/index.js'
-import { upstreamLifeSchema } from '../placement/index.js'
+import { upstreamIncarnationSchema } from '../placement/index.js'
 import { createLinkFetch } from '../peer/fetch.js'
 import type { ByteCounter } from '../peer/fetch.js'
 import type { Connections } from '../protocols/http.js'
@@ -16,7 +16,7 @@
 const prefillNoticeSchema = z.object({
   /** Incarnation of the sender. */
   from: z.string(),
-  upstream: upstreamLifeSchema,
+  upstream: upstreamIncarnationSchema,
   /** Milliseconds of prefill that the prompt needs at the upstream. */
   reading: z.number(),
   /** Nodes that the receiver forwards the notice to: none, its members, or all nodes. */
--- a/src/gateway/proxied-request.ts
+++ b/src/gateway/proxied-request.ts
@@ -1,7 +1,7 @@
 /** State of one request while it is proxied, and the rules for further attempts. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Milliseconds } from '../clock.js'
-import type { UpstreamLife } from '../placement/index.js'
+import type { UpstreamIncarnation } from '../placement/index.js'
 import type { Side } from '../rollout/index.js'
 import { mayRepeat, ServingError } from '../verdict.js'
 import type { FailureCode, Verdict } from '../verdict.js'
@@ -26,7 +26,7 @@
   /** Side of a roll-out at which the first attempt is made; undefined until it has been chosen. */
   side: Side | undefined
   /** Upstreams to which an attempt was dispatched. */
-  readonly tried: Set<UpstreamLife>
+  readonly tried: Set<UpstreamIncarnation>
   /** Id of the upstream of the latest attempt. */
   upstream: string | undefined
   /** Attempts that an upstream may have begun to run. */
--- a/src/gateway/replica.ts
+++ b/src/gateway/replica.ts
@@ -1,5 +1,5 @@
 /** A copy of the entries of a followed prefix, with its latest changes, from which other nodes receive updates. */
-import type { News } from '../gossip/index.js'
+import type { StoreUpdate } from '../gossip/index.js'
 import type { KeyValueEntry } from '../protocols/key-value.js'
 import type { PrefixHandler } from './follow.js'
 
@@ -10,9 +10,9 @@
   /** Latest revision that the copy contains; 0 before the first read. */
   revision (): number
   /** Changes after a revision, or all entries where the removals since then are no longer known. */
-  since (revision: number): Omit<News, 'prefix' | 'age'>
+  since (revision: number): Omit<StoreUpdate, 'prefix' | 'age'>
   /** Applies an update from another node. */
-  apply (update: News): void
+  apply (update: StoreUpdate): void
 }
 
 /** Maximum number of removals that are kept. A node that lacks older removals receives all entries. */
--- a/src/gateway/reporting.ts
+++ b/src/gateway/reporting.ts
@@ -1,8 +1,8 @@
 /** Reports of a member: sends its state to an aggregator and receives the sums of the other nodes and store updates. */
 import { boundSignal } from '../bound-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
-import { aggregatorAnswerSchema, SILENT_AFTER } from '../gossip/index.js'
-import type { AggregatorAnswer, FleetReport, MemberMessage, SharedWall } from '../gossip/index.js'
+import { aggregatorAnswerSchema, LIVENESS_TIMEOUT } from '../gossip/index.js'
+import type { AggregatorAnswer, FleetReport, MemberMessage, SharedWallClock } from '../gossip/index.js'
 import { pack, unpack } from './packing.js'
 import type { PeerLink } from './peer-link.js'
 import type { ReachablePeers } from './reachable-peers.js'
@@ -12,7 +12,7 @@
 export interface MemberReporterOptions {
   readonly clock: Clock
   readonly signal: AbortSignal
-  readonly wall: SharedWall
+  readonly wall: SharedWallClock
   readonly storeUpdates: StoreUpdateExchange
   readonly reachable: ReachablePeers
   /** Returns the client for a peer's address. */
@@ -81,7 +81,7 @@
 
   function applyAnswer (answer: AggregatorAnswer, sentAt: Milliseconds): void {
     const now = clock.now()
-    wall.agree(answer.wall, now)
+    wall.setAgreed(answer.wall, now)
     storeUpdates.receive(answer.news, sentAt)
     lastAnswer = { others: answer.others, at: now }
     options.heard()
@@ -97,6 +97,6 @@
       return undefined
     },
     hasAggregator: () => lastAnswer !== undefined && clock.now() - lastAnswer.at < AGGREGATOR_TIMEOUT,
-    others: () => lastAnswer !== undefined && clock.now() - lastAnswer.at < SILENT_AFTER ? lastAnswer.others : undefined
+    others: () => lastAnswer !== undefined && clock.now() - lastAnswer.at < LIVENESS_TIMEOUT ? lastAnswer.others : undefined
   }
 }
--- a/src/gateway/rollout-duty.ts
+++ b/src/gateway/rollout-duty.ts
@@ -50,13 +50,13 @@
       bounds: options.bounds,
       verdict,
       elapsed,
-      inStage: clock.now() - known.since,
+      timeInStage: clock.now() - known.since,
       tried: usable.filter((upstream) => rollouts.roleOf(upstream) === 'tried').length,
       serving: usable.filter((upstream) => rollouts.roleOf(upstream) === 'serving').length,
       versions: [...new Set(present.map(({ version }) => version))],
       nodes: fleet.knownNodeCount(),
       followers: evidence.followers,
-      runningBefore: runningBefore(order),
+      runningAtOtherVersions: runningBefore(order),
       sent: evidence.sent,
       exposed: evidence.exposed,
       rate: evidence.sent / Math.max(1, elapsed / SECOND)
@@ -68,7 +68,7 @@
     const loadsByNode = [upstreams.inFlight(clock.now()), ...fleet.loads().values()]
     return upstreams.all()
       .filter((upstream) => upstream.service === order.service && rollouts.roleOf(upstream) !== 'tried')
-      .reduce((sum, { life }) => sum + loadsByNode.reduce((requests, loads) => requests + (loads[life]?.requests ?? 0), 0), 0)
+      .reduce((sum, { incarnation: life }) => sum + loadsByNode.reduce((requests, loads) => requests + (loads[life]?.requests ?? 0), 0), 0)
   }
 
   async function decide (order: RolloutOrder): Promise<void> {
@@ -86,7 +86,7 @@
       verdict: situation?.verdict.kind,
       sent: situation?.sent,
       exposed: situation?.exposed,
-      running: situation?.runningBefore,
+      running: situation?.runningAtOtherVersions,
       elapsed: situation === undefined ? undefined : Math.round(situation.elapsed),
       outcome: swap.kind,
       fencing: proof.fencing
--- a/src/gateway/rollout-records.ts
+++ b/src/gateway/rollout-records.ts
@@ -3,7 +3,7 @@
 import { ONLY_EPOCH } from '../protocols/epochs.js'
 import { ABSENT } from '../protocols/key-value.js'
 import { epochOf } from '../revision.js'
-import { answers, isBehind, sameOrder } from '../rollout/index.js'
+import { isAnswerTo, isSuperseded, withKnownRevision } from '../rollout/index.js'
 import type { RolloutOrder, RolloutStatus } from '../rollout/index.js'
 import type { KeyValueEntry } from '../protocols/key-value.js'
 import { followPrefix, boundedDelaySettings } from './follow.js'
@@ -55,7 +55,7 @@
     if (read === undefined) return
     if (read instanceof Error) return log.warn('rollout-order-unreadable', { key, error: read.message.slice(0, MAX_LOGGED_LENGTH) })
     const known = orders.get(read.service)?.order
-    const order = withAnsweredRevision(sameOrder(read, known))
+    const order = withAnsweredRevision(withKnownRevision(read, known))
     if (known?.revision === order.revision) return
     orders.set(order.service, { key, order })
     following ??= followStatuses()
@@ -66,7 +66,7 @@
   /** An order that was rewritten after a restore keeps the revision that the known status answers. */
   function withAnsweredRevision (order: RolloutOrder): RolloutOrder {
     const status = statuses.get(order.service)?.status
-    return sameOrder(order, status && { version: status.version, revision: status.order })
+    return withKnownRevision(order, status && { version: status.version, revision: status.order })
   }
 
   function removeOrder (key: string): void {
@@ -103,7 +103,7 @@
     if (status === undefined) return log.warn('rollout-status-unreadable', { key, value: value.slice(0, MAX_LOGGED_LENGTH) })
     const known = statuses.get(service)
     if (known !== undefined && known.revision >= revision) return
-    if (known !== undefined && isBehind(status, known.status)) {
+    if (known !== undefined && isSuperseded(status, known.status)) {
       statuses.set(service, { ...known, revision, isLost: true })
       log.warn('rollout-stage-lost', { service, version: known.status.version, stage: known.status.stage, found: status.stage, order: known.status.order })
       return
@@ -141,5 +141,5 @@
  */
 export function statusFor (records: RolloutRecords, order: RolloutOrder): KnownStatus | undefined {
   const known = records.status(order.service)
-  return answers(known?.status, order) ? known : undefined
+  return isAnswerTo(known?.status, order) ? known : undefined
 }
--- a/src/gateway/rollouts.ts
+++ b/src/gateway/rollouts.ts
@@ -6,9 +6,9 @@
 import { SECOND } from '../clock.js'
 import type { EventLog } from '../events/index.js'
 import { score } from '../membership/rendezvous.js'
-import type { UpstreamLife, UpstreamRecord } from '../placement/index.js'
+import type { UpstreamIncarnation, UpstreamRecord } from '../placement/index.js'
 import type { Random } from '../random.js'
-import { canaryPart, createExposureShare, createVersionTest, emptyRoute, mergeEvidence, noEvidence, PROBE_TIME, roleOf, stepOf } from '../rollout/index.js'
+import { canaryFraction, createExposureShare, createVersionTest, emptyRouteEvidence, mergeEvidence, emptyEvidence, PROBE_TIME, roleOf, timeStepOf } from '../rollout/index.js'
 import type { ExposureShare, RolloutBounds, RolloutEvidence, RolloutOrder, RolloutStage, Side, VersionEvidence, VersionRole, VersionTest, Verdict } from '../rollout/index.js'
 import { statusFor } from './rollout-records.js'
 import type { KnownStatus, RolloutRecords } from './rollout-records.js'
@@ -104,12 +104,12 @@
   const { clock, random, log, bounds, records } = options
   const trials = new Map<string, Trial>()
   const versions = createKnownVersions(clock, options.ordersReceivedAt)
-  const lastBrokenAt = new Map<UpstreamLife, Milliseconds>()
+  const lastBrokenAt = new Map<UpstreamIncarnation, Milliseconds>()
 
   function trialOf (order: RolloutOrder): Trial {
     const known = trials.get(order.service)
     if (known?.order.revision === order.revision) return known
-    const trial: Trial = { order, share: createExposureShare(bounds, options.nodes(), random), test: createVersionTest(), own: { ...noEvidence(order.revision) }, others: [], stopped: false }
+    const trial: Trial = { order, share: createExposureShare(bounds, options.nodes(), random), test: createVersionTest(), own: { ...emptyEvidence(order.revision) }, others: [], stopped: false }
     trials.set(order.service, trial)
     return trial
   }
@@ -139,7 +139,7 @@
   /** Fraction of this node's requests that try the new version now. */
   function triedFraction ({ status, since }: KnownStatus): number {
     const isProbing = status.stage === 'probe' && clock.now() - since < PROBE_TIME
-    return isProbing ? status.probedPart ?? canaryPart(bounds) : canaryPart(bounds)
+    return isProbing ? status.probedPart ?? canaryFraction(bounds) : canaryFraction(bounds)
   }
 
   function roleFor (upstream: UpstreamRecord): VersionRole {
@@ -148,7 +148,7 @@
 
   function sumsOf (trial: Trial): VersionEvidence {
     const { service, revision } = trial.order
-    return mergeEvidence([{ [service]: trial.own }, ...trial.others])[service] ?? noEvidence(revision)
+    return mergeEvidence([{ [service]: trial.own }, ...trial.others])[service] ?? emptyEvidence(revision)
   }
 
   /** Updates the verdict with the evidence so far. Logs the first bad one and stops the trial at this node. */
@@ -187,7 +187,7 @@
       const { own } = active.trial
       own.sent += 1
       if (side === 'tried') own.exposed += 1
-      const evidence = (own.routes[route] ??= emptyRoute())[side]
+      const evidence = (own.routes[route] ??= emptyRouteEvidence())[side]
       const failed = (): void => {
         evidence.failures += 1
         if (side === 'tried') judge(active.trial)
@@ -195,15 +195,15 @@
       return {
         side,
         answered: (took, expected) => {
-          const step = stepOf(took, expected)
+          const step = timeStepOf(took, expected)
           evidence.times[step] = (evidence.times[step] ?? 0) + 1
           if (side === 'tried') judge(active.trial)
         },
         failed,
         interrupted: () => {
           const now = clock.now()
-          if (now - (lastBrokenAt.get(upstream.life) ?? -Infinity) < CRASH_WINDOW) return
-          lastBrokenAt.set(upstream.life, now)
+          if (now - (lastBrokenAt.get(upstream.incarnation) ?? -Infinity) < CRASH_WINDOW) return
+          lastBrokenAt.set(upstream.incarnation, now)
           failed()
         }
       }
--- a/src/gateway/stopping-rule.ts
+++ b/src/gateway/stopping-rule.ts
@@ -1,6 +1,6 @@
 /** Decides which requests a stopping node still admits: those that are expected to finish before it is killed. */
 import type { Milliseconds } from '../clock.js'
-import { readingTime } from '../placement/index.js'
+import { prefillTime } from '../placement/index.js'
 import type { EngineSpeed } from '../placement/index.js'
 import type { Route } from '../routing/index.js'
 import type { RequestHead } from './ports.js'
@@ -46,5 +46,5 @@
 
 function expectedTime (route: Route, { tokens }: RequestHead, speed: EngineSpeed): Milliseconds {
   if (route.kind !== 'stream' || tokens === undefined) return route.target * PLAIN_TARGET_FACTOR
-  return speed.base + readingTime(tokens.prompt, 0, speed) * PREFILL_FACTOR + tokens.generated * TIME_PER_TOKEN
+  return speed.base + prefillTime(tokens.prompt, 0, speed) * PREFILL_FACTOR + tokens.generated * TIME_PER_TOKEN
 }
--- a/src/gateway/store-updates.ts
+++ b/src/gateway/store-updates.ts
@@ -11,7 +11,7 @@
  */
 import { SECOND } from '../clock.js'
 import type { Clock, Milliseconds } from '../clock.js'
-import type { News } from '../gossip/index.js'
+import type { StoreUpdate } from '../gossip/index.js'
 import type { PrefixReplica } from './replica.js'
 
 /** Role of a node in reading the store: 'telling' if other nodes depend on its reads, 'told' if it receives updates from another node, 'alone' otherwise. */
@@ -35,9 +35,9 @@
   /** Present role of this node. */
   role (): StoreReadRole
   /** Updates that another node lacks, given the revisions that it has. */
-  updatesFor (known: Readonly<Record<string, number>>): News[]
+  updatesFor (known: Readonly<Record<string, number>>): StoreUpdate[]
   /** Applies the updates of an answer to a request that was sent at `sentAt`. */
-  receive (updates: readonly News[], sentAt: Milliseconds): void
+  receive (updates: readonly StoreUpdate[], sentAt: Milliseconds): void
   /** Time of the last answer of the store that received updates account for; undefined when none were received. */
   lastReceivedAt (prefix: string): Milliseconds | undefined
   /** Whether received updates are too old, or none were received, so that this node has to read the store itself. */
--- a/src/gateway/upstream-view.ts
+++ b/src/gateway/upstream-view.ts
@@ -1,7 +1,7 @@
 /** This node's view of the upstreams: their registry records, and the load that this node and the other nodes put on them. */
 import type { Milliseconds } from '../clock.js'
 import { createUpstreamHealth } from '../placement/index.js'
-import type { Candidate, InFlight, NodeLoad, UpstreamHealth, UpstreamLife, UpstreamRecord } from '../placement/index.js'
+import type { Candidate, InFlight, NodeLoad, UpstreamHealth, UpstreamIncarnation, UpstreamRecord } from '../placement/index.js'
 
 const NO_LOAD: NodeLoad = { requests: 0, reading: 0 }
 
@@ -25,9 +25,9 @@
 /** Signals that upstreams have given this node in their answers. */
 export interface UpstreamAvailability {
   /** The upstream has announced that it leaves. */
-  isLeaving (incarnation: UpstreamLife): boolean
+  isLeaving (incarnation: UpstreamIncarnation): boolean
   /** The upstream accepts a request of this node now. */
-  accepts (incarnation: UpstreamLife, now: Milliseconds): boolean
+  accepts (incarnation: UpstreamIncarnation, now: Milliseconds): boolean
 }
 
 const ALWAYS_AVAILABLE: UpstreamAvailability = { isLeaving: () => false, accepts: () => true }
@@ -39,31 +39,31 @@
   /** The registry has no usable record under this id from this revision on. @returns the record that was removed, if any */
   remove (id: string, revision: number): UpstreamRecord | undefined
   /** Marks an incarnation as leaving, whatever its record says. @returns false if it was marked already or is unknown */
-  noteLeaving (incarnation: UpstreamLife): boolean
+  noteLeaving (incarnation: UpstreamIncarnation): boolean
   /** Removes an incarnation that has ended, whatever the registry shows. */
-  forget (incarnation: UpstreamLife): void
+  forget (incarnation: UpstreamIncarnation): void
   /** Removes all upstreams but those of a complete listing. @returns the removed records */
   keepOnly (ids: ReadonlySet<string>): readonly UpstreamRecord[]
   all (): readonly UpstreamRecord[]
   /** The record of an incarnation, if it is present. */
-  find (incarnation: UpstreamLife): UpstreamRecord | undefined
+  find (incarnation: UpstreamIncarnation): UpstreamRecord | undefined
   /**
    * Upstreams of a service that may take a request now, with their load. Upstreams that failed recently are included only
    * if there are no others.
    *
    * @param admit selects the upstreams that the request may go to, regardless of their health
    */
-  candidates (service: string, excluded: ReadonlySet<UpstreamLife>, now: Milliseconds, admit?: (present: readonly UpstreamRecord[]) => readonly UpstreamRecord[]): Candidate[]
+  candidates (service: string, excluded: ReadonlySet<UpstreamIncarnation>, now: Milliseconds, admit?: (present: readonly UpstreamRecord[]) => readonly UpstreamRecord[]): Candidate[]
   /** Upstreams of a service that are not leaving, whether or not they accept a request now. */
-  notLeaving (service: string, excluded: ReadonlySet<UpstreamLife>): readonly UpstreamRecord[]
+  notLeaving (service: string, excluded: ReadonlySet<UpstreamIncarnation>): readonly UpstreamRecord[]
   /** Counts a request that is dispatched to an upstream, with the expected time of its prefill. */
-  begin (incarnation: UpstreamLife, prefillTime: Milliseconds, now: Milliseconds): InFlightRequest
+  begin (incarnation: UpstreamIncarnation, prefillTime: Milliseconds, now: Milliseconds): InFlightRequest
   /** Requests of this node in flight, by upstream incarnation. */
   inFlight (now: Milliseconds): InFlight
   /** Takes the requests in flight that the other live nodes last reported, by node incarnation. */
   observe (others: ReadonlyMap<string, InFlight>, now: Milliseconds): void
   /** Another node has just dispatched a long prompt. */
-  notePrefill (node: string, incarnation: UpstreamLife, prefillTime: Milliseconds, now: Milliseconds): void
+  notePrefill (node: string, incarnation: UpstreamIncarnation, prefillTime: Milliseconds, now: Milliseconds): void
   readonly health: UpstreamHealth
 }
 
@@ -80,7 +80,7 @@
 
 /** A long prompt dispatched by a node whose load this node receives only as part of a sum over several nodes. */
 interface PrefillNote {
-  readonly incarnation: UpstreamLife
+  readonly incarnation: UpstreamIncarnation
   readonly reading: Milliseconds
   readonly at: Milliseconds
 }
@@ -102,8 +102,8 @@
  */
 export function createUpstreamView (availability: UpstreamAvailability = ALWAYS_AVAILABLE): UpstreamView {
   const records = new Map<string, KnownUpstream>()
-  const ownRequests = new Map<UpstreamLife, Set<OwnRequest>>()
-  const reportedLoads = new Map<string, Map<UpstreamLife, ReportedLoad>>()
+  const ownRequests = new Map<UpstreamIncarnation, Set<OwnRequest>>()
+  const reportedLoads = new Map<string, Map<UpstreamIncarnation, ReportedLoad>>()
   const lastReports = new Map<string, InFlight>()
   let prefillNotes: PrefillNote[] = []
   const health = createUpstreamHealth()
@@ -121,10 +121,10 @@
   function put (record: UpstreamRecord, revision: number): UpstreamChange | undefined {
     if (isOutdated(record.id, revision)) return undefined
     const known = records.get(record.id)
-    const isSameIncarnation = known?.record.life === record.life
+    const isSameIncarnation = known?.record.incarnation === record.incarnation
     // Leaving is final for an incarnation: an upstream that has begun to drain ends, whatever is written later.
     if (isSameIncarnation && known.hasNotice && !record.leaving) return undefined
-    const leaving = record.leaving || availability.isLeaving(record.life)
+    const leaving = record.leaving || availability.isLeaving(record.incarnation)
     records.set(record.id, { record: { ...record, leaving }, revision, hasNotice: record.leaving })
     if (!isSameIncarnation) return 'new'
     // A notice in answers starts no move of runs, since only the registry says when the upstream will be gone.
@@ -132,9 +132,9 @@
     return known.record.address === record.address ? undefined : 'changed'
   }
 
-  function noteLeaving (incarnation: UpstreamLife): boolean {
+  function noteLeaving (incarnation: UpstreamIncarnation): boolean {
     for (const [id, known] of records) {
-      if (known.record.life !== incarnation || known.record.leaving) continue
+      if (known.record.incarnation !== incarnation || known.record.leaving) continue
       records.set(id, { ...known, record: { ...known.record, leaving: true } })
       return true
     }
@@ -145,11 +145,11 @@
     return [...records.values()].map(({ record }) => record)
   }
 
-  function notLeaving (service: string, excluded: ReadonlySet<UpstreamLife>): UpstreamRecord[] {
-    return all().filter((upstream) => upstream.service === service && !upstream.leaving && !excluded.has(upstream.life))
+  function notLeaving (service: string, excluded: ReadonlySet<UpstreamIncarnation>): UpstreamRecord[] {
+    return all().filter((upstream) => upstream.service === service && !upstream.leaving && !excluded.has(upstream.incarnation))
   }
 
-  function ownLoad (incarnation: UpstreamLife, now: Milliseconds): NodeLoad {
+  function ownLoad (incarnation: UpstreamIncarnation, now: Milliseconds): NodeLoad {
     const requests = ownRequests.get(incarnation)
     if (requests === undefined) return NO_LOAD
     let prefillTime = 0
@@ -162,7 +162,7 @@
     return { requests: requests.size, reading: Math.max(0, prefillTime - (now - oldest)) }
   }
 
-  function loadOf (incarnation: UpstreamLife, now: Milliseconds): NodeLoad {
+  function loadOf (incarnation: UpstreamIncarnation, now: Milliseconds): NodeLoad {
     let { requests, reading: prefillTime } = ownLoad(incarnation, now)
     for (const loads of reportedLoads.values()) {
       const other = loads.get(incarnation)
@@ -188,22 +188,22 @@
     },
     noteLeaving,
     forget: (incarnation) => {
-      for (const [id, { record }] of records) if (record.life === incarnation) records.delete(id)
+      for (const [id, { record }] of records) if (record.incarnation === incarnation) records.delete(id)
     },
     keepOnly: (ids) => {
       const gone = all().filter(({ id }) => !ids.has(id))
       for (const { id } of gone) records.delete(id)
-      health.keep(new Set(all().map(({ life }) => life)))
+      health.retainOnly(new Set(all().map(({ incarnation: life }) => life)))
       return gone
     },
     all,
-    find: (incarnation) => all().find((record) => record.life === incarnation),
+    find: (incarnation) => all().find((record) => record.incarnation === incarnation),
     notLeaving,
     candidates: (service, excluded, now, admit = (present) => present) => {
-      const present = admit(notLeaving(service, excluded).filter(({ life }) => availability.accepts(life, now)))
-      const usable = present.filter((upstream) => health.usable(upstream.life, now))
+      const present = admit(notLeaving(service, excluded).filter(({ incarnation: life }) => availability.accepts(life, now)))
+      const usable = present.filter((upstream) => health.usable(upstream.incarnation, now))
       // If all upstreams have failed recently, an attempt at one of them is better than a certain refusal.
-      return (usable.length > 0 ? usable : present).map((upstream): Candidate => ({ upstream, load: loadOf(upstream.life, now) }))
+      return (usable.length > 0 ? usable : present).map((upstream): Candidate => ({ upstream, load: loadOf(upstream.incarnation, now) }))
     },
     begin: (incarnation, prefillTime, now) => {
       const request: OwnRequest = { reading: prefillTime, since: now }
@@ -232,7 +232,7 @@
         // Prefills of a known report progress with time. Only a new report restarts its time.
         if (lastReports.get(node) === loads) continue
         lastReports.set(node, loads)
-        reportedLoads.set(node, new Map(Object.entries(loads).map(([incarnation, load]) => [incarnation as UpstreamLife, { load, at: now }])))
+        reportedLoads.set(node, new Map(Object.entries(loads).map(([incarnation, load]) => [incarnation as UpstreamIncarnation, { load, at: now }])))
       }
     },
     notePrefill: (node, incarnation, prefillTime, now) => {
@@ -242,7 +242,7 @@
         prefillNotes.push({ incarnation, reading: prefillTime, at: now })
         return
       }
-      const loads = reportedLoads.get(node) ?? new Map<UpstreamLife, ReportedLoad>()
+      const loads = reportedLoads.get(node) ?? new Map<UpstreamIncarnation, ReportedLoad>()
       const { load } = loads.get(incarnation) ?? { load: NO_LOAD }
       loads.set(incarnation, { load: { requests: load.requests + 1, reading: load.reading + prefillTime }, at: now })
       reportedLoads.set(node, loads)
--- a/src/gateway/upstream-watcher.ts
+++ b/src/gateway/upstream-watcher.ts
@@ -1,6 +1,6 @@
 /** Watches the upstream records of the registry and updates the view of upstreams. */
 import type { Milliseconds } from '../clock.js'
-import { createEndedLives, SETTLED_AFTER } from '../placement/index.js'
+import { createEndedIncarnations, REGISTRY_SETTLE_TIME } from '../placement/index.js'
 import type { UpstreamRecord } from '../placement/index.js'
 import type { KeyValueEntry } from '../protocols/key-value.js'
 import type { UpstreamConnections } from './exchange.js'
@@ -31,7 +31,7 @@
 export function watchUpstreams (context: StoreContext, registry: Registry, view: UpstreamView, connections: UpstreamConnections, drain: Milliseconds, onLeaving: (record: UpstreamRecord) => void): PrefixSubscription {
   const { store, clock, log, signal } = context
   const prefix = registry.upstreamPrefix
-  const endedIncarnations = createEndedLives()
+  const endedIncarnations = createEndedIncarnations()
   /** Records that are not used yet since the store was restored and their upstream may have ended, by id. */
   const doubtful = new Map<string, RegisteredUpstream>()
   const unusable = new Map<string, string>()
@@ -63,7 +63,7 @@
 
   function put (registered: RegisteredUpstream, source: 'watch' | 'listing'): void {
     const { record, revision } = registered
-    if (endedIncarnations.isDoubtful(record.life, clock.now())) {
+    if (endedIncarnations.mayBeStale(record.incarnation, clock.now())) {
       if (!doubtful.has(record.id)) log.warn('upstream-doubtful', { upstream: record.id, service: record.service })
       doubtful.set(record.id, registered)
       return
@@ -83,13 +83,13 @@
   }
 
   store.epochs.onRestore(() => {
-    endedIncarnations.restored(clock.now())
-    clock.sleep(SETTLED_AFTER, signal).then(applyDoubtful).catch((error) => { if (!signal.aborted) log.error('upstreams-not-settled', { error: String(error) }) })
+    endedIncarnations.registryRestored(clock.now())
+    clock.sleep(REGISTRY_SETTLE_TIME, signal).then(applyDoubtful).catch((error) => { if (!signal.aborted) log.error('upstreams-not-settled', { error: String(error) }) })
   })
 
   /** Closes connections to incarnations that are no longer in the view. */
   function pruneConnections (): void {
-    connections.closeExcept(new Set(view.all().map((record) => record.life)))
+    connections.closeExcept(new Set(view.all().map((record) => record.incarnation)))
   }
 
   function remove (key: string, revision: number): void {
@@ -100,7 +100,7 @@
     pruneConnections()
   }
 
-  function recordGone ({ id, life, service }: UpstreamRecord, source: 'watch' | 'listing'): void {
+  function recordGone ({ id, incarnation: life, service }: UpstreamRecord, source: 'watch' | 'listing'): void {
     endedIncarnations.ended(life, clock.now())
     log.info('upstream-gone', { upstream: id, service, source })
   }
--- a/src/gossip/addresses.ts
+++ b/src/gossip/addresses.ts
@@ -1,41 +1,43 @@
 /**
- * Which addresses one caller is told.
+ * Chooses the node addresses that are returned to a caller.
  *
- * Load pattern answered: more nodes than callers take from one answer. Where all get the same first ones, these carry
- * all traffic and the others none; where each answer is drawn anew, callers drop the connections that the new one lacks.
- * Each caller's nodes are ranked by weighted rendezvous hashing instead (Schindelhauer and Schomaker, Weighted
- * distributed hash tables, 2005): the same at every node that answers and at each time, spread over all nodes by what
- * they can carry, and a node that comes or goes moves only its own places.
+ * Load pattern: there are more nodes than addresses that a caller takes from one answer. If all callers got the same
+ * addresses, those nodes would carry all traffic. If each answer were drawn at random, callers would close the connections
+ * to addresses missing from a new answer. Therefore the nodes are ranked for each caller by weighted rendezvous hashing
+ * (Schindelhauer and Schomaker, Weighted distributed hash tables, 2005). The ranking is the same at every node and at any
+ * time, spreads callers in proportion to node capacity, and changes only in the places of nodes that join or leave.
  */
 import { score } from '../membership/rendezvous.js'
 
-/** A node that may be named. */
-export interface Reachable {
+/** A node whose address may be returned. */
+export interface ReachableNode {
   readonly name: string
   /** Address for callers. */
   readonly front: string
-  /** Cores that it may use; nodes of other sizes are named in proportion. */
+  /** Cores that it may use. The share of callers that get its address is proportional to this. */
   readonly processor: number
 }
 
-/** Scores lie below this. */
-const SCORES = 2 ** 32
+/** Exclusive upper bound of rendezvous scores. */
+const SCORE_RANGE = 2 ** 32
 
 /**
- * @param caller whoever asks; the same text gets the same nodes
- * @param nodes that take requests
- * @param most addresses that a caller takes from one answer
- * @returns all addresses where there are no more than that
+ * Chooses the addresses for one caller.
+ *
+ * @param callerKey identifies the caller; the same key gets the same nodes
+ * @param nodes nodes that accept requests
+ * @param maxAddresses number of addresses that a caller takes from one answer
+ * @returns the addresses of all nodes where there are at most `maxAddresses`
  * @example
  * chooseAddresses('10.3.0.7', nodes, 64)
  */
-export function chooseAddresses (caller: string, nodes: readonly Reachable[], most: number): string[] {
-  if (nodes.length <= most) return nodes.map(({ front }) => front)
-  const ranked = nodes.map((node) => ({ node, distance: distanceOf(caller, node) }))
+export function chooseAddresses (callerKey: string, nodes: readonly ReachableNode[], maxAddresses: number): string[] {
+  if (nodes.length <= maxAddresses) return nodes.map(({ front }) => front)
+  const ranked = nodes.map((node) => ({ node, distance: distanceOf(callerKey, node) }))
   ranked.sort((left, right) => left.distance - right.distance)
-  return ranked.slice(0, most).map(({ node }) => node.front)
+  return ranked.slice(0, maxAddresses).map(({ node }) => node.front)
 }
 
-function distanceOf (caller: string, { name, processor }: Reachable): number {
-  return -Math.log((score(caller, name) + 0.5) / SCORES) / processor
+function distanceOf (caller: string, { name, processor }: ReachableNode): number {
+  return -Math.log((score(caller, name) + 0.5) / SCORE_RANGE) / processor
 }
--- a/src/gossip/departed.ts
+++ b/src/gossip/departed.ts
@@ -1,31 +1,33 @@
 /**
- * Nodes whose records have vanished and that may serve all the same.
+ * Tracks nodes whose records have lapsed but which may still serve callers.
  *
- * Failure guarded against: nodes that are cut off from the store and from the others lose their records, and go on
- * serving the callers that reach them. The others take themselves for the whole fleet and use the whole of what all may
- * use, beside what the cut ones use: an organisation's tokens were 7 in 100 beyond its quota and the margin while 29 of
- * 82 nodes were cut off. A node counts for some time after its record has gone, whoever is still to be heard of.
+ * Failure guarded against: nodes that are partitioned from the store and from the other nodes lose their records but go on
+ * serving the callers that reach them. The other nodes then take themselves for the whole fleet and grant the full quotas
+ * in addition to what the partitioned nodes grant. With 29 of 82 nodes partitioned, an organisation got 7 % more tokens
+ * than its quota and the margin allow. Therefore a node is counted for some time after its record has lapsed.
  */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 
-/** Nodes that are remembered. */
+/** Nodes whose records have lapsed lately. */
 export interface DepartedNodes {
-  /** The record of a node has vanished. */
+  /** The record of the node has lapsed. */
   gone (name: string, now: Milliseconds): void
-  /** It is there again. */
-  back (name: string): void
-  /** Nodes that may still serve. */
+  /** The record of the node is present again. */
+  returned (name: string): void
+  /** Number of nodes without a record that may still serve callers. */
   count (now: Milliseconds): number
 }
 
 /**
- * Cuts last for some ten seconds; a node that was removed for good costs organisations at their limit its part of their
- * quota for this time.
+ * Partitions last for some ten seconds. After a node is removed for good, organisations at their limit lose its share of
+ * their quota for this time.
  */
-const REMEMBERED: Milliseconds = 30 * SECOND
+const RETENTION: Milliseconds = 30 * SECOND
 
 /**
+ * Creates an empty set of departed nodes.
+ *
  * @example
  * const departed = createDepartedNodes()
  * departed.gone('entry-7', clock.now())
@@ -35,9 +37,9 @@
   const goneAt = new Map<string, Milliseconds>()
   return {
     gone: (name, now) => { goneAt.set(name, now) },
-    back: (name) => { goneAt.delete(name) },
+    returned: (name) => { goneAt.delete(name) },
     count: (now) => {
-      for (const [name, at] of goneAt) if (now - at > REMEMBERED) goneAt.delete(name)
+      for (const [name, at] of goneAt) if (now - at > RETENTION) goneAt.delete(name)
       return goneAt.size
     }
   }
--- a/src/gossip/merge.ts
+++ b/src/gossip/merge.ts
@@ -1,18 +1,20 @@
-/** Sums of what several nodes tell, so that what a node hears doesn't grow with their number. */
+/** Merges the reports of several nodes, so that the volume that a node receives does not grow with the number of nodes. */
 import { mergeLimits } from '../backpressure/index.js'
 import { combineSpeeds, roundSpeed } from '../placement/index.js'
-import type { NodeLoad, UpstreamLife } from '../placement/index.js'
+import type { NodeLoad, UpstreamIncarnation } from '../placement/index.js'
 import { ANSWERED } from '../quarantine/index.js'
 import { mergeEvidence } from '../rollout/index.js'
 import { sumWork } from '../scaling/index.js'
 import type { FleetReport } from './types.js'
 
-/** Digits of a combined speed that are told; one more than a node tells of its own. */
-const DIGITS = 4
+/** Significant digits of a combined speed; one more than in the report of a single node. */
+const COMBINED_DIGITS = 4
 
 /**
- * @param reports of different nodes
- * @returns undefined where there are none
+ * Merges reports into one. Counts, loads, evidence and limits are the same for any grouping of the reports.
+ *
+ * @param reports reports of different nodes
+ * @returns undefined where there are no reports
  * @example
  * mergeReports([own, ...members])?.demand.hillside
  */
@@ -42,12 +44,12 @@
 }
 
 function sumLoads (reports: readonly FleetReport[]): FleetReport['inFlight'] {
-  const sum: Record<UpstreamLife, NodeLoad> = {}
+  const sum: Record<UpstreamIncarnation, NodeLoad> = {}
   for (const { inFlight } of reports) {
     for (const [name, load] of Object.entries(inFlight)) {
-      const life = name as UpstreamLife
-      const known = sum[life]
-      sum[life] = known === undefined ? load : { requests: known.requests + load.requests, reading: known.reading + load.reading }
+      const incarnation = name as UpstreamIncarnation
+      const known = sum[incarnation]
+      sum[incarnation] = known === undefined ? load : { requests: known.requests + load.requests, reading: known.reading + load.reading }
     }
   }
   return sum
@@ -56,12 +58,12 @@
 function mergeSpeeds (reports: readonly FleetReport[]): FleetReport['speeds'] {
   const services = new Set(reports.flatMap(({ speeds }) => Object.keys(speeds)))
   return Object.fromEntries([...services].map((service) => {
-    const learnt = reports.map(({ speeds }) => speeds[service]).filter((speed) => speed !== undefined)
-    return [service, roundSpeed({ ...combineSpeeds(learnt), samples: learnt.reduce((sum, { samples }) => sum + samples, 0) }, DIGITS)]
+    const estimates = reports.map(({ speeds }) => speeds[service]).filter((speed) => speed !== undefined)
+    return [service, roundSpeed({ ...combineSpeeds(estimates), samples: estimates.reduce((sum, { samples }) => sum + samples, 0) }, COMBINED_DIGITS)]
   }))
 }
 
-/** A whole answer anywhere clears a fingerprint. */
+/** Sums crash counts by request fingerprint. A complete answer at any node clears the fingerprint. */
 function mergeCrashes (reports: readonly FleetReport[]): Record<string, number> {
   const merged: Record<string, number> = {}
   for (const { crashes } of reports) {
--- a/src/gossip/roles.ts
+++ b/src/gossip/roles.ts
@@ -1,74 +1,84 @@
 /**
- * Which nodes exchange with each other, and to which of them the others report.
+ * Selects the aggregators among the nodes, and the aggregator that each other node reports to.
  *
- * Load pattern answered: hundreds of nodes that each hear the state of each other. At 195 nodes unpacking these took
- * most of a node's processor time beside requests, and each node read each change of the store for itself. Up to
- * {@link EQUALS} nodes exchange directly; beyond, a few aggregators do, and each other node (a member) reports to one of
- * them and hears sums. Nobody is elected: each node ranks the same records the same way, and a node that doesn't find an
- * aggregator acts as one.
+ * Load pattern: with hundreds of nodes that all receive each other's states, decoding the states took most of the processor
+ * time not spent on requests (at 195 nodes), and each node read every change of the store itself. Up to
+ * {@link MAX_FULL_MESH_NODES} nodes exchange their states directly. In larger deployments only a few aggregators do. Every
+ * other node, a member, reports to one aggregator and receives sums. There is no election: all nodes rank the same records
+ * in the same way, and a node that reaches no aggregator acts as one.
  */
 import { rank, score } from '../membership/rendezvous.js'
 import type { FailureDomain, Incarnation } from '../identifiers.js'
 
-/** A registered node. */
-export interface Ranked {
+/** A registered node that may act as an aggregator. */
+export interface AggregatorCandidate {
   readonly name: string
   readonly failureDomain: string
   /** Cores that it may use. */
   readonly processor: number
 }
 
-/** Nodes that all exchange directly: one message with all their states is some 8 KB. */
-export const EQUALS = 16
+/** Largest number of nodes that all exchange states directly. A message with all their states has some 8 KB. */
+export const MAX_FULL_MESH_NODES = 16
 
-/** Members of one aggregator: with a report each 0.4 s, 60 reports a second. */
-const MEMBERS = 24
+/** Members per aggregator. With one report per 0.4 s and member, an aggregator gets 60 reports a second. */
+const MEMBERS_PER_AGGREGATOR = 24
 
-/** With fewer, the loss of a failure domain or of half of the nodes may leave none. Each reads the store, which is paid for. */
-const FEWEST = 4
+/**
+ * With fewer aggregators, the loss of a failure domain or of half of the nodes may leave none. More aggregators cost more
+ * reads of the store.
+ */
+const MIN_AGGREGATORS = 4
 
-/** A node with less than this part of the largest processor is no aggregator while there are enough others. */
-const STRONG_PART = 0.75
+/**
+ * Nodes with less than this fraction of the largest node's cores become aggregators only if there are not enough others.
+ */
+const MIN_PROCESSOR_FRACTION = 0.75
 
-/** Key by which aggregators are ranked. */
-const KEY = 'aggregator'
+/** Rendezvous key by which aggregators are ranked. */
+const AGGREGATOR_KEY = 'aggregator'
 
 /**
- * @param nodes all that are registered
- * @returns the nodes that exchange with each other, spread over failure domains
+ * Selects the nodes that exchange states with each other.
+ *
+ * @param nodes all registered nodes
+ * @returns the aggregators, spread over failure domains; all nodes in a small deployment
  * @example
  * pickAggregators(records).some(({ name }) => name === own.name)
  */
-export function pickAggregators<T extends Ranked> (nodes: readonly T[]): T[] {
-  if (nodes.length <= EQUALS) return [...nodes]
-  const count = Math.max(FEWEST, Math.ceil(nodes.length / MEMBERS))
+export function pickAggregators<T extends AggregatorCandidate> (nodes: readonly T[]): T[] {
+  if (nodes.length <= MAX_FULL_MESH_NODES) return [...nodes]
+  const count = Math.max(MIN_AGGREGATORS, Math.ceil(nodes.length / MEMBERS_PER_AGGREGATOR))
   const largest = Math.max(...nodes.map(({ processor }) => processor))
-  const strong = nodes.filter(({ processor }) => processor >= largest * STRONG_PART)
-  return pickInTurn(strong.length >= count ? strong : nodes, count)
+  const strong = nodes.filter(({ processor }) => processor >= largest * MIN_PROCESSOR_FRACTION)
+  return pickRoundRobin(strong.length >= count ? strong : nodes, count)
 }
 
 /**
+ * Orders the aggregators for one member.
+ *
  * @param own the node that reports
- * @param aggregators to choose among
- * @returns them in the order in which it tries them: its own failure domain first, members spread evenly
+ * @param aggregators to be ordered
+ * @returns the aggregators in the order in which the node tries them: first those in its own failure domain, and among
+ * equals in a rendezvous order that spreads the members evenly
  * @example
- * const [first] = orderFor(own, pickAggregators(records))
+ * const [first] = aggregatorOrderFor(own, pickAggregators(records))
  */
-export function orderFor<T extends Ranked> (own: Ranked, aggregators: readonly T[]): T[] {
-  const distance = ({ failureDomain }: Ranked): number => failureDomain === own.failureDomain ? 0 : 1
+export function aggregatorOrderFor<T extends AggregatorCandidate> (own: AggregatorCandidate, aggregators: readonly T[]): T[] {
+  const distance = ({ failureDomain }: AggregatorCandidate): number => failureDomain === own.failureDomain ? 0 : 1
   return [...aggregators].sort((left, right) => distance(left) - distance(right) || score(own.name, right.name) - score(own.name, left.name))
 }
 
-/** The best of each failure domain in turn. */
-function pickInTurn<T extends Ranked> (nodes: readonly T[], count: number): T[] {
+/** Picks the highest-ranked nodes round-robin over the failure domains. */
+function pickRoundRobin<T extends AggregatorCandidate> (nodes: readonly T[], count: number): T[] {
   const byName = new Map(nodes.map((node) => [node.name, node]))
-  // A node keeps its rank over restarts, so that the others needn't look for another aggregator twice.
-  const ranked = rank(KEY, nodes.map(({ name, failureDomain }) => ({ incarnation: name as Incarnation, failureDomain: failureDomain as FailureDomain })))
-  const turns = new Map<string, number>()
+  // Ranking by name keeps a node's rank over restarts, so that its members need not change the aggregator twice.
+  const ranked = rank(AGGREGATOR_KEY, nodes.map(({ name, failureDomain }) => ({ incarnation: name as Incarnation, failureDomain: failureDomain as FailureDomain })))
+  const nextRounds = new Map<string, number>()
   const placed = ranked.map(({ incarnation, failureDomain }) => {
-    const turn = turns.get(failureDomain) ?? 0
-    turns.set(failureDomain, turn + 1)
-    return { node: byName.get(incarnation)!, turn }
+    const round = nextRounds.get(failureDomain) ?? 0
+    nextRounds.set(failureDomain, round + 1)
+    return { node: byName.get(incarnation)!, turn: round }
   })
   return placed.sort((left, right) => left.turn - right.turn).slice(0, count).map(({ node }) => node)
 }
--- a/src/gossip/table.ts
+++ b/src/gossip/table.ts
@@ -1,118 +1,123 @@
 /**
- * States of all nodes as one node has heard them (push-pull anti-entropy: Demers et al., Epidemic
- * algorithms for replicated database maintenance, 1987). Each node writes its own state only, so the
- * highest sequence of an incarnation is the latest.
+ * Replicated table of node states (push-pull anti-entropy: Demers et al., Epidemic algorithms for replicated database
+ * maintenance, 1987). Each node writes only its own state, so the highest sequence of an incarnation is the latest state.
  */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
-import type { GossipMessage, NodeState, Versions } from './types.js'
+import type { GossipMessage, NodeState, VersionVector } from './types.js'
 
-/** States of nodes. */
+/** States of the nodes as one node has received them. */
 export interface GossipTable {
   /** Replaces this node's own state. */
   publish (state: NodeState): void
-  /** Takes a message in. @returns the states that were news */
-  take (message: GossipPart, now: Milliseconds): NodeState[]
-  /** States that a peer lacks, with their ages; all, while nothing is known of it. */
+  /** Merges a message. @returns the states that were newer than the known ones */
+  receive (message: GossipPayload, now: Milliseconds): NodeState[]
+  /** States that a peer lacks, with their ages; all states where the peer's version vector is unknown. */
   missing (peer: string | undefined, now: Milliseconds): Pick<GossipMessage, 'states' | 'ages'>
-  versions (): Versions
-  /** Other nodes that were heard of lately, directly or not. */
+  /** Version vector of this table. */
+  versions (): VersionVector
+  /** Latest states of the other nodes whose states have advanced within {@link LIVENESS_TIMEOUT}. */
   live (now: Milliseconds): NodeState[]
-  /** Since the live node that was silent for the longest time was heard of; undefined when there is no other. */
-  oldest (now: Milliseconds): Milliseconds | undefined
-  /** All other incarnations that aren't forgotten yet, dead ones included. */
+  /** Longest time since the state of a live node advanced; undefined when there is no other live node. */
+  maxSilence (now: Milliseconds): Milliseconds | undefined
+  /** States of all other incarnations that are still kept, including dead ones. */
   all (): NodeState[]
 }
 
-/** What the table takes of a message. */
-export type GossipPart = Pick<GossipMessage, 'from' | 'versions' | 'states' | 'ages'>
+/** Fields of a message that the table merges. */
+export type GossipPayload = Pick<GossipMessage, 'from' | 'versions' | 'states' | 'ages'>
 
-/** A state that hasn't risen for this time is of a node that is dead or cut off. */
-export const SILENT_AFTER: Milliseconds = 3 * SECOND
+/** A node whose state has not advanced for this time is dead or partitioned. */
+export const LIVENESS_TIMEOUT: Milliseconds = 3 * SECOND
 
-/** How long a dead incarnation's last words are kept: its usage goes into the report of its last window. */
-const FORGET_AFTER: Milliseconds = 30 * SECOND
+/** How long the last state of a dead incarnation is kept. Its usage goes into the report of its last window. */
+const RETENTION: Milliseconds = 30 * SECOND
 
-/** A dead incarnation's last words aren't passed on after this time: long before any node forgets it. */
-const PASSED_ON: Milliseconds = 12 * SECOND
+/**
+ * Older states are neither forwarded nor accepted. This is well below {@link RETENTION}, so no node has dropped the state
+ * by then.
+ */
+const MAX_FORWARDED_AGE: Milliseconds = 12 * SECOND
 
-interface Heard {
+interface ReceivedState {
   readonly state: NodeState
   readonly at: Milliseconds
 }
 
 /**
- * @param own incarnation of this node
+ * Creates an empty table.
+ *
+ * @param ownIncarnation incarnation of this node
  * @example
  * const table = createGossipTable(incarnation)
  * table.publish(state)
- * table.take(message, clock.now())
+ * table.receive(message, clock.now())
  */
-export function createGossipTable (own: string): GossipTable {
-  const heard = new Map<string, Heard>()
-  const known = new Map<string, Versions>()
-  let self: NodeState | undefined
+export function createGossipTable (ownIncarnation: string): GossipTable {
+  const received = new Map<string, ReceivedState>()
+  const peerVersions = new Map<string, VersionVector>()
+  let ownState: NodeState | undefined
 
   /**
-   * Failure guarded against: a node that has forgotten a dead one hears of it again from one that hasn't
-   * yet, takes it for news, and callers are sent to its address for another while. A state keeps the age
-   * that it had at its sender, and one that is too old to be passed on isn't taken either.
+   * Failure guarded against: a node that has dropped the state of a dead node receives it again from a node that still
+   * keeps it, takes the dead node for live, and callers are sent to its address for some more seconds. A state keeps the
+   * age that it had at its sender, and a state older than {@link MAX_FORWARDED_AGE} is not accepted.
    */
-  function take (message: GossipPart, now: Milliseconds): NodeState[] {
-    known.set(message.from, message.versions)
-    const news: NodeState[] = []
+  function receive (message: GossipPayload, now: Milliseconds): NodeState[] {
+    peerVersions.set(message.from, message.versions)
+    const newer: NodeState[] = []
     for (const state of message.states) {
       const at = now - (message.ages[state.incarnation] ?? 0)
-      if (state.incarnation === own || now - at > PASSED_ON) continue
-      const last = heard.get(state.incarnation)
+      if (state.incarnation === ownIncarnation || now - at > MAX_FORWARDED_AGE) continue
+      const last = received.get(state.incarnation)
       if (last !== undefined && last.state.sequence >= state.sequence) continue
-      heard.set(state.incarnation, { state, at })
-      news.push(state)
+      received.set(state.incarnation, { state, at })
+      newer.push(state)
     }
-    for (const [incarnation, { at }] of heard) {
-      if (now - at < FORGET_AFTER) continue
-      heard.delete(incarnation)
-      known.delete(incarnation)
+    for (const [incarnation, { at }] of received) {
+      if (now - at < RETENTION) continue
+      received.delete(incarnation)
+      peerVersions.delete(incarnation)
     }
-    return news
+    return newer
   }
 
-  function versions (): Versions {
+  function versions (): VersionVector {
     const all: Record<string, number> = {}
-    for (const [incarnation, { state }] of heard) all[incarnation] = state.sequence
-    if (self !== undefined) all[own] = self.sequence
+    for (const [incarnation, { state }] of received) all[incarnation] = state.sequence
+    if (ownState !== undefined) all[ownIncarnation] = ownState.sequence
     return all
   }
 
   return {
-    publish: (state) => { self = state },
-    take,
+    publish: (state) => { ownState = state },
+    receive,
     missing: (peer, now) => {
-      const has = peer === undefined ? {} : known.get(peer) ?? {}
-      const passed = [...heard.values()].filter(({ at }) => now - at < PASSED_ON)
-      if (self !== undefined) passed.push({ state: self, at: now })
-      const lacking = passed.filter(({ state }) => state.incarnation !== peer && (has[state.incarnation] ?? -1) < state.sequence)
+      const has = peer === undefined ? {} : peerVersions.get(peer) ?? {}
+      const forwarded = [...received.values()].filter(({ at }) => now - at < MAX_FORWARDED_AGE)
+      if (ownState !== undefined) forwarded.push({ state: ownState, at: now })
+      const lacking = forwarded.filter(({ state }) => state.incarnation !== peer && (has[state.incarnation] ?? -1) < state.sequence)
       return {
         states: lacking.map(({ state }) => state),
         ages: Object.fromEntries(lacking.map(({ state, at }) => [state.incarnation, Math.round(now - at)]))
       }
     },
     versions,
-    live: (now) => latestLives([...heard.values()].filter(({ at }) => now - at < SILENT_AFTER)),
-    oldest: (now) => {
-      const ages = [...heard.values()].map(({ at }) => now - at).filter((age) => age < SILENT_AFTER)
+    live: (now) => latestIncarnations([...received.values()].filter(({ at }) => now - at < LIVENESS_TIMEOUT)),
+    maxSilence: (now) => {
+      const ages = [...received.values()].map(({ at }) => now - at).filter((age) => age < LIVENESS_TIMEOUT)
       return ages.length === 0 ? undefined : Math.max(...ages)
     },
-    all: () => [...heard.values()].map(({ state }) => state)
+    all: () => [...received.values()].map(({ state }) => state)
   }
 }
 
-/** A node that has started again is heard of twice for a while; its latest life counts. */
-function latestLives (heard: readonly Heard[]): NodeState[] {
-  const latest = new Map<string, Heard>()
-  for (const one of heard) {
-    const other = latest.get(one.state.name)
-    if (other === undefined || other.at < one.at) latest.set(one.state.name, one)
+/** Keeps one state per node: for some time after a restart there are states of two incarnations, and the latest counts. */
+function latestIncarnations (received: readonly ReceivedState[]): NodeState[] {
+  const latest = new Map<string, ReceivedState>()
+  for (const receivedState of received) {
+    const latestOfNode = latest.get(receivedState.state.name)
+    if (latestOfNode === undefined || latestOfNode.at < receivedState.at) latest.set(receivedState.state.name, receivedState)
   }
   return [...latest.values()].map(({ state }) => state)
 }
--- a/src/gossip/types.ts
+++ b/src/gossip/types.ts
@@ -1,59 +1,62 @@
-/** What nodes tell each other about themselves, passed on from node to node. */
+/** Messages of the gossip between nodes. */
 import * as z from 'zod'
 import { reportedDeparturesSchema, reportedLimitsSchema } from '../backpressure/index.js'
-import { upstreamLifeSchema } from '../placement/index.js'
+import { upstreamIncarnationSchema } from '../placement/index.js'
 import { versionEvidenceSchema } from '../rollout/index.js'
 
 const countsSchema = z.record(z.string(), z.number())
 
-/** Work of one service that a node took in, a second. */
+/** Work offered to a node for one service, per second. */
 const workSchema = z.object({
   requests: z.number(),
-  /** Milliseconds of reading. */
+  /** Milliseconds of prefill. */
   reading: z.number(),
   generatedTokens: z.number()
 })
 
-/** Speed of a service's engines as a node has learnt it. */
+/** Speed of a service's engines as a node has estimated it. */
 const speedSchema = z.object({ base: z.number(), perThousandTokens: z.number(), perMillionPairs: z.number(), samples: z.number() })
 
 const reportFields = {
-  /** Nodes that it speaks for. */
+  /** Number of nodes that the report covers. */
   nodes: z.number().int().positive(),
-  /** Version of the configuration in force there, the highest of several nodes; 0 for none. */
+  /** Version of the configuration in force, the highest where the report covers several nodes; 0 for none. */
   configuration: z.number(),
-  /** Units a second by organisation that callers ask for. */
+  /** Units a second that callers request, by organisation. */
   demand: countsSchema,
-  /** Units a second by organisation that are let through. */
+  /** Units a second that are granted, by organisation. */
   granted: countsSchema,
-  /** Requests in flight by life of an upstream, and the reading of prompts that they still need, in milliseconds. */
-  inFlight: z.record(upstreamLifeSchema, z.object({ requests: z.number(), reading: z.number() })),
+  /** Requests in flight by incarnation of an upstream, and the prefill that they still need, in milliseconds. */
+  inFlight: z.record(upstreamIncarnationSchema, z.object({ requests: z.number(), reading: z.number() })),
   /** Offered work by service. */
   work: z.record(z.string(), workSchema),
-  /** How fast the engines of each service read prompts, as it has seen. */
+  /** Estimated prefill speed of the engines, by service. */
   speeds: z.record(z.string(), speedSchema),
-  /** Broken runs by fingerprint of the request; -1 for one that was answered whole since. */
+  /**
+   * Number of broken runs by fingerprint of the request; -1 where a request with this fingerprint has since been answered
+   * completely.
+   */
   crashes: countsSchema,
-  /** What it saw of versions that are rolled out, by service. */
+  /** Evidence on versions that are rolled out, by service. */
   rollouts: z.record(z.string(), versionEvidenceSchema),
-  /** Rate limits that upstreams named in answers to it. */
+  /** Rate limits that upstreams gave in their answers. */
   limits: reportedLimitsSchema.default({}),
-  /** Upstreams that said in answers to it that they leave. */
+  /** Upstreams whose answers said that they leave. */
   departures: reportedDeparturesSchema.default([])
 }
 
-/** Sums of what one or several nodes see and do. */
+/** Report of one node, or the merged report of several nodes. */
 export const fleetReportSchema = z.object(reportFields)
 export type FleetReport = z.infer<typeof fleetReportSchema>
 
 /**
- * One node as it last told of itself, with the sums of those that report to it. A higher sequence of the same
- * incarnation replaces a lower one.
+ * State that a node publishes of itself, merged with the reports of its members. A higher sequence of the same incarnation
+ * replaces a lower one.
  */
 export const nodeStateSchema = z.object({
   name: z.string(),
   incarnation: z.string(),
-  /** Rises with each change and each heartbeat. */
+  /** Incremented with each change and each heartbeat. */
   sequence: z.number().int(),
   failureDomain: z.string(),
   /** Address for callers. */
@@ -62,66 +65,69 @@
   peer: z.string(),
   /** Cores that it may use. */
   processor: z.number(),
-  /** Takes new requests. */
+  /** Whether the node accepts new requests. */
   ready: z.boolean(),
   ...reportFields,
-  /** Requests that began to run at this node alone, by window and organisation; the latest windows only. */
+  /** Number of requests that began to run at this node alone, by window and organisation, for the latest windows only. */
   usage: z.record(z.string(), countsSchema)
 })
 export type NodeState = z.infer<typeof nodeStateSchema>
 
-/** Latest sequence by incarnation. */
-export type Versions = Readonly<Record<string, number>>
+/** Latest known sequence by incarnation. */
+export type VersionVector = Readonly<Record<string, number>>
 
 /** One half of an exchange between two nodes. */
 export const gossipMessageSchema = z.object({
   /** Incarnation of the sender. */
   from: z.string(),
-  /** Wall time of the sender when it wrote this, in milliseconds. */
+  /** Wall time of the sender when it wrote the message, in milliseconds. */
   wall: z.number(),
-  /** What the sender knows. */
+  /** Version vector of the sender. */
   versions: z.record(z.string(), z.number()),
   /** States that the receiver lacks, as far as the sender knows. */
   states: z.array(nodeStateSchema),
-  /** How long ago the sender first heard each of these, in milliseconds; its own is new. */
+  /** Time since the sender first received each of these states, in milliseconds; 0 for its own state. */
   ages: z.record(z.string(), z.number())
 })
 export type GossipMessage = z.infer<typeof gossipMessageSchema>
 
-/** What a member tells its aggregator. */
+/** Report of a member to its aggregator. */
 export const memberMessageSchema = z.object({
   state: nodeStateSchema,
-  /** Wall time of the member when it wrote this, in milliseconds. */
+  /** Wall time of the member when it wrote the report, in milliseconds. */
   wall: z.number(),
-  /** Latest revision that it has, by followed prefix of the store. */
+  /** Latest revision that the member has, by followed prefix of the store. */
   known: z.record(z.string(), z.number())
 })
 export type MemberMessage = z.infer<typeof memberMessageSchema>
 
 const entrySchema = z.object({ key: z.string(), value: z.string(), revision: z.number() })
 
-/** What a node has read under a prefix of the store beyond a revision, for a node that doesn't read it itself. */
-export const newsSchema = z.object({
+/** Changes under a prefix of the store since a revision, for a node that does not read the store itself. */
+export const storeUpdateSchema = z.object({
   prefix: z.string(),
-  /** Latest revision that it contains. */
+  /** Latest revision that the update contains. */
   revision: z.number(),
-  /** The entries are all that stand there, where the changes since the asked revision aren't known any more. */
+  /**
+   * Whether the entries are the complete content of the prefix, since the changes after the requested revision are no
+   * longer known.
+   */
   isWhole: z.boolean(),
   entries: z.array(entrySchema),
   removed: z.array(z.object({ key: z.string(), revision: z.number() })),
-  /** Since the store was last heard of for this prefix, in milliseconds. */
+  /** Time since the store last answered for this prefix, in milliseconds. */
   age: z.number()
 })
-export type News = z.infer<typeof newsSchema>
+export type StoreUpdate = z.infer<typeof storeUpdateSchema>
 
-/** An aggregator's answer to a member. */
+/** Answer of an aggregator to a member. */
 export const aggregatorAnswerSchema = z.object({
   /** Incarnation of the aggregator. */
   from: z.string(),
   /** Wall time that the aggregator and its peers agree on, in milliseconds. */
   wall: z.number(),
-  /** Sums of all live nodes but the member; undefined where there are none. */
+  /** Merged report of all live nodes except the member; undefined where there are none. */
   others: fleetReportSchema.optional(),
-  news: z.array(newsSchema)
+  news: z.array(storeUpdateSchema)
 })
 export type AggregatorAnswer = z.infer<typeof aggregatorAnswerSchema>
--- a/src/placement/choose.ts
+++ b/src/placement/choose.ts
@@ -1,86 +1,93 @@
 /**
- * Choice of an upstream for one request: where its prompt is cached, how busy each is, and how near.
+ * Chooses the upstream for one request by cached prompt parts, load and failure domain.
  *
- * Requests about one subject share all parts of the prompt but the last. Rendezvous hashing of the last
- * shared part gives all nodes the same home without a word between them; there the shared parts need no
- * reading. What remains to be read there and what is already waiting decide, as the request's own time.
+ * Requests about one subject share all prompt parts except the last. Rendezvous hashing of the last shared part
+ * gives all nodes the same preferred upstream without communication. That upstream probably has the shared parts in its
+ * cache, so they need no prefill there. The cost of an upstream is the delay in milliseconds that the request would see:
+ * its own prefill plus the prefill that is already queued there, plus fixed costs.
  */
 import type { Milliseconds } from '../clock.js'
 import { score } from '../membership/rendezvous.js'
-import { readingTime } from './speed.js'
+import { prefillTime } from './speed.js'
 import type { EngineSpeed } from './speed.js'
-import type { NodeLoad, PromptPart, UpstreamRecord, Work } from './types.js'
+import type { NodeLoad, PromptPart, UpstreamRecord, PlacementRequest } from './types.js'
 
 /** One upstream that may take the request. */
 export interface Candidate {
   readonly upstream: UpstreamRecord
-  /** What all nodes have in flight there, as far as known. */
+  /** Requests of all nodes in flight there, as far as known. */
   readonly load: NodeLoad
 }
 
-/** Costs in milliseconds of the request's time. */
+/** Costs of placing a request, expressed as delay of that request. */
 export interface PlacementCosts {
-  /** Each request that runs there already. */
+  /** Added for each request that already runs at the upstream. */
   readonly perRequest: Milliseconds
-  /** An upstream in another failure domain. */
+  /** Added where the upstream is in another failure domain than the node. */
   readonly otherDomain: Milliseconds
-  /** A reclaimable upstream for a request that would be lost with it. */
+  /** Added where the upstream is reclaimable and a reclaim would lose the request. */
   readonly reclaimable: Milliseconds
-  /** Upstreams, in a request's own order, among which it is placed while they have room. */
-  readonly homes: number
+  /** Number of top-ranked upstreams of a request among which it is placed while not too much prefill is queued there. */
+  readonly preferredUpstreams: number
 }
 
-/** The node that chooses. */
+/** The node that places the request. */
 export interface PlacingNode {
   readonly name: string
   readonly failureDomain: string
 }
 
-/** An upstream, and the reading that the request causes there. */
+/** The chosen upstream and the load found there. */
 export interface Choice {
   readonly upstream: UpstreamRecord
+  /** Prefill time that the request needs there. */
   readonly reading: Milliseconds
-  /** Tokens of the prompt that are probably kept there. */
+  /** Prompt tokens that are probably in the upstream's cache. */
   readonly cached: number
-  /** Reading that the upstream has to do before. */
+  /** Prefill time already queued at the upstream. */
   readonly waiting: Milliseconds
-  /** Upstreams that it was chosen from. */
+  /** Number of upstreams that were compared. */
   readonly candidates: number
 }
 
-/** Part of a request's target; where more reading than that waits, others are looked at, whatever the order. */
-const FULL_WAITING_PART = 0.5
+/** Fraction of the request's target. Where more prefill than that is queued, upstreams of any rank are considered. */
+const MAX_WAITING_FRACTION = 0.5
 
 /**
- * A running request of an engine delays each step of the others by 0.0165 ms, some 100 of them before the first
- * token at the worst. Plans lean to engines that stay by the reading of half of a plan's own part. Six upstreams of
- * a request's own order bring 94.9 of 100 first tokens in time at 64 nodes whose states are up to 2.4 s old, all of
- * them 92.7 (simulated, npm run bench -- gateway-placement).
+ * Costs for services with engines.
+ *
+ * `perRequest`: a running request delays each step of the others by 0.0165 ms, and up to some 100 steps come before the
+ * first token. `reclaimable`: about the prefill time of half of the unshared prompt part of a request that a reclaim
+ * would lose. `preferredUpstreams`: with six, 94.9 % of the first tokens come in time at 64 nodes whose states are up to
+ * 2.4 s old. With all upstreams it is 92.7 % (simulated, npm run bench -- gateway-placement).
  */
-export const ENGINE_COSTS: PlacementCosts = { perRequest: 2, otherDomain: 2, reclaimable: 60, homes: 6 }
+export const ENGINE_COSTS: PlacementCosts = { perRequest: 2, otherDomain: 2, reclaimable: 60, preferredUpstreams: 6 }
 
-/** A plain request holds one of six slots for some 30 ms; a service has three upstreams. */
-export const PLAIN_COSTS: PlacementCosts = { perRequest: 15, otherDomain: 5, reclaimable: 0, homes: Infinity }
+/** Costs for plain services. A plain request holds one of six slots for some 30 ms, and a service has three upstreams. */
+export const PLAIN_COSTS: PlacementCosts = { perRequest: 15, otherDomain: 5, reclaimable: 0, preferredUpstreams: Infinity }
 
 /**
- * @param candidates upstreams that may take the request; their order doesn't matter
- * @param speed of the service's engines
- * @returns undefined when there are none
+ * Chooses the candidate with the lowest cost.
+ *
+ * @param candidates upstreams that may take the request, in any order
+ * @param node the node that places the request
+ * @param speed estimated speed of the service's engines
+ * @returns undefined when there are no candidates
  * @example
- * chooseUpstream(work, candidates, { name: 'entry-1', failureDomain: 'lisbon-a' }, ENGINE_COSTS, speeds.of('plans'))?.upstream.id
+ * chooseUpstream(request, candidates, { name: 'entry-1', failureDomain: 'lisbon-a' }, ENGINE_COSTS, speeds.of('plans'))?.upstream.id
  */
-export function chooseUpstream (work: Work, candidates: readonly Candidate[], node: PlacingNode, costs: PlacementCosts, speed: EngineSpeed): Choice | undefined {
-  const home = work.parts.at(-2)?.id
-  if (home === undefined) return cheapest(work, candidates, undefined, node, costs, speed)
-  const ranked = byRendezvous(home, candidates)
+export function chooseUpstream (request: PlacementRequest, candidates: readonly Candidate[], node: PlacingNode, costs: PlacementCosts, speed: EngineSpeed): Choice | undefined {
+  const cacheKey = request.parts.at(-2)?.id
+  if (cacheKey === undefined) return findCheapest(request, candidates, undefined, node, costs, speed)
+  const ranked = rankByRendezvous(cacheKey, candidates)
   const preferred = ranked[0]?.upstream
-  const near = cheapest(work, ranked.slice(0, costs.homes), preferred, node, costs, speed)
-  if (near === undefined || near.waiting < work.target * FULL_WAITING_PART || ranked.length <= costs.homes) return near
-  return cheapest(work, candidates, preferred, node, costs, speed)
+  const choice = findCheapest(request, ranked.slice(0, costs.preferredUpstreams), preferred, node, costs, speed)
+  if (choice === undefined || choice.waiting < request.target * MAX_WAITING_FRACTION || ranked.length <= costs.preferredUpstreams) return choice
+  return findCheapest(request, candidates, preferred, node, costs, speed)
 }
 
 /**
- * Tokens of the parts that requests share: all but the last.
+ * Counts the tokens of the parts that requests about one subject share, which are all but the last.
  *
  * @example
  * sharedTokens([{ id: 'a', tokens: 500 }, { id: 'b', tokens: 90 }]) // 500
@@ -91,35 +98,38 @@
   return sum
 }
 
-function cheapest (work: Work, candidates: readonly Candidate[], preferred: UpstreamRecord | undefined, node: PlacingNode, costs: PlacementCosts, speed: EngineSpeed): Choice | undefined {
-  const shared = Math.min(work.promptTokens, sharedTokens(work.parts))
-  const whole = readingTime(work.promptTokens, 0, speed)
-  const rest = readingTime(work.promptTokens - shared, shared, speed)
+function findCheapest (request: PlacementRequest, candidates: readonly Candidate[], preferred: UpstreamRecord | undefined, node: PlacingNode, costs: PlacementCosts, speed: EngineSpeed): Choice | undefined {
+  const shared = Math.min(request.promptTokens, sharedTokens(request.parts))
+  const fullPrefill = prefillTime(request.promptTokens, 0, speed)
+  const remainingPrefill = prefillTime(request.promptTokens - shared, shared, speed)
   let best: Choice | undefined
-  let lowest = Infinity
+  let lowestCost = Infinity
   for (const { upstream, load } of candidates) {
-    const reading = upstream === preferred ? rest : whole
-    const cost = load.reading + reading + load.requests * costs.perRequest +
+    const prefill = upstream === preferred ? remainingPrefill : fullPrefill
+    const cost = load.reading + prefill + load.requests * costs.perRequest +
       (upstream.failureDomain === node.failureDomain ? 0 : costs.otherDomain) +
-      (work.bound && upstream.reclaimable ? costs.reclaimable : 0) +
-      tieBreak(node.name, upstream.id)
-    if (cost < lowest) {
-      lowest = cost
-      best = { upstream, reading, cached: upstream === preferred ? shared : 0, waiting: load.reading, candidates: candidates.length }
+      (request.lostOnReclaim && upstream.reclaimable ? costs.reclaimable : 0) +
+      tieBreaker(node.name, upstream.id)
+    if (cost < lowestCost) {
+      lowestCost = cost
+      best = { upstream, reading: prefill, cached: upstream === preferred ? shared : 0, waiting: load.reading, candidates: candidates.length }
     }
   }
   return best
 }
 
-/** All nodes rank the upstreams of a request the same way. */
-function byRendezvous (home: string, candidates: readonly Candidate[]): Candidate[] {
+/** Ranks the upstreams for a cache key, in the same order at all nodes. */
+function rankByRendezvous (cacheKey: string, candidates: readonly Candidate[]): Candidate[] {
   return candidates
-    .map((candidate) => ({ candidate, weight: score(home, candidate.upstream.id) }))
+    .map((candidate) => ({ candidate, weight: score(cacheKey, candidate.upstream.id) }))
     .sort((left, right) => right.weight - left.weight)
     .map(({ candidate }) => candidate)
 }
 
-/** Below a millisecond. Each node has an order of its own, so that equal upstreams don't get all nodes' requests in turn. */
-function tieBreak (node: string, id: string): Milliseconds {
+/**
+ * Less than a millisecond. Each node breaks ties in its own order, so that not all nodes choose the same one of several
+ * equal upstreams.
+ */
+function tieBreaker (node: string, id: string): Milliseconds {
   return score(node, id) / 2 ** 32
 }
--- a/src/placement/ended-lives.ts
+++ b/src/placement/ended-lives.ts
@@ -1,48 +1,51 @@
 /**
- * Lives of upstreams that have ended, over returns of the registry from a copy.
+ * Remembers ended incarnations of upstreams across restores of the registry from a backup.
  *
- * Failure guarded against: an upstream leaves and its record goes; the registry comes back from a copy in which it stands as
- * ready, and requests are sent to an address where nothing answers, or another upstream does. Its record lapses again, or
- * turns out to be alive, within some seconds; until then it isn't used.
+ * Failure guarded against: an upstream leaves and its record is removed. The registry is then restored from a backup in
+ * which the upstream is still ready, and requests are sent to an address where nothing or another upstream answers. The
+ * restored record either lapses or is renewed by a live upstream within some seconds. Until then the incarnation is not
+ * used.
  */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
-import type { UpstreamLife } from './types.js'
+import type { UpstreamIncarnation } from './types.js'
 
-/** Lives that are over. */
-export interface EndedLives {
-  /** The record of a life has gone. */
-  ended (life: UpstreamLife, now: Milliseconds): void
-  /** The registry has come back from a copy. */
-  restored (now: Milliseconds): void
-  /** The record of this life may be the copy's: it had ended before the return. */
-  isDoubtful (life: UpstreamLife, now: Milliseconds): boolean
+/** Incarnations that have ended. */
+export interface EndedIncarnations {
+  /** The record of the incarnation has been removed. */
+  ended (incarnation: UpstreamIncarnation, now: Milliseconds): void
+  /** The registry has been restored from a backup. */
+  registryRestored (now: Milliseconds): void
+  /** Whether a record of this incarnation may come from the backup, since the incarnation had ended before the restore. */
+  mayBeStale (incarnation: UpstreamIncarnation, now: Milliseconds): boolean
 }
 
-/** Copies are some seconds old: who ended longer before the return doesn't stand in one. */
-const REMEMBERED: Milliseconds = 30 * SECOND
+/** Backups are some seconds old, so an incarnation that ended earlier than this is in none of them. */
+const RETENTION: Milliseconds = 30 * SECOND
 
-/** Records lapse after three heartbeats without one, and those of the living are written again within two seconds. */
-export const SETTLED_AFTER: Milliseconds = 5 * SECOND
+/** Records lapse when three heartbeats are missed, and live upstreams write theirs again within two seconds. */
+export const REGISTRY_SETTLE_TIME: Milliseconds = 5 * SECOND
 
 /**
+ * Creates an empty record of ended incarnations.
+ *
  * @example
- * const lives = createEndedLives()
- * lives.ended(record.life, clock.now())
+ * const endedIncarnations = createEndedIncarnations()
+ * endedIncarnations.ended(record.incarnation, clock.now())
  */
-export function createEndedLives (): EndedLives {
-  const endedAt = new Map<UpstreamLife, Milliseconds>()
-  let restoredAt: Milliseconds = -Infinity
+export function createEndedIncarnations (): EndedIncarnations {
+  const endedAt = new Map<UpstreamIncarnation, Milliseconds>()
+  let lastRestoredAt: Milliseconds = -Infinity
 
   return {
-    ended: (life, now) => {
-      for (const [other, at] of endedAt) if (now - at > REMEMBERED) endedAt.delete(other)
-      endedAt.set(life, now)
+    ended: (incarnation, now) => {
+      for (const [other, at] of endedAt) if (now - at > RETENTION) endedAt.delete(other)
+      endedAt.set(incarnation, now)
     },
-    restored: (now) => { restoredAt = now },
-    isDoubtful: (life, now) => {
-      const at = endedAt.get(life)
-      return at !== undefined && at <= restoredAt && now - restoredAt < SETTLED_AFTER
+    registryRestored: (now) => { lastRestoredAt = now },
+    mayBeStale: (incarnation, now) => {
+      const at = endedAt.get(incarnation)
+      return at !== undefined && at <= lastRestoredAt && now - lastRestoredAt < REGISTRY_SETTLE_TIME
     }
   }
 }
--- a/src/placement/health.ts
+++ b/src/placement/health.ts
@@ -1,24 +1,25 @@
 /**
- * Which upstreams take no work for a while, by what their exchanges showed.
+ * Pauses upstreams after failed attempts.
  *
- * Failure guarded against: an upstream that is dead, cut off or silent looks idle and would attract all
- * new work. A failed connection takes it out at once for a short pause, which doubles with each further
- * failure; any whole answer ends that. An upstream is never out for good, since the registry alone says
- * that it has left.
+ * Failure guarded against: an upstream that is dead, partitioned or silent looks idle and would attract all new requests.
+ * A failed attempt pauses the upstream at once for a short time, which doubles with each further failure. Any complete
+ * answer ends the pause. An upstream is never excluded for good, since only the registry tells that it has left.
  */
 import type { Milliseconds } from '../clock.js'
-import type { UpstreamLife } from './types.js'
+import type { UpstreamIncarnation } from './types.js'
 
-/** Health of the upstreams of one node. */
+/** Health of the upstreams, as one node sees it. */
 export interface UpstreamHealth {
-  /** No connection could be opened, or an exchange broke or went silent. */
-  failed (life: UpstreamLife, now: Milliseconds): void
-  /** It said that it is full; others are tried first for a moment. */
-  full (life: UpstreamLife, now: Milliseconds): void
-  answered (life: UpstreamLife): void
-  /** Whether it may take work now. */
-  usable (life: UpstreamLife, now: Milliseconds): boolean
-  keep (lives: ReadonlySet<UpstreamLife>): void
+  /** No connection could be opened, or the exchange broke off or timed out. */
+  failed (incarnation: UpstreamIncarnation, now: Milliseconds): void
+  /** The upstream answered that it is full. Others are tried first for a short time. */
+  full (incarnation: UpstreamIncarnation, now: Milliseconds): void
+  /** The upstream gave a complete answer, which ends its pause. */
+  answered (incarnation: UpstreamIncarnation): void
+  /** Whether the upstream may take requests now. */
+  usable (incarnation: UpstreamIncarnation, now: Milliseconds): boolean
+  /** Drops the pauses of all other incarnations. */
+  retainOnly (incarnations: ReadonlySet<UpstreamIncarnation>): void
 }
 
 interface Pause {
@@ -26,34 +27,38 @@
   until: Milliseconds
 }
 
-/** A crashed upstream is back after some seconds; the first pause is short since one reset proves little. */
-const FIRST_PAUSE: Milliseconds = 400
-const LONGEST_PAUSE: Milliseconds = 3_000
+/** The first pause is short because a single connection reset is weak evidence of a crash. */
+const INITIAL_PAUSE: Milliseconds = 400
 
-/** Time in which a full upstream frees a slot: about one plain request. */
+/** A crashed upstream is back after some seconds. */
+const MAX_PAUSE: Milliseconds = 3_000
+
+/** Time until a full upstream frees a slot, about the duration of one plain request. */
 const FULL_PAUSE: Milliseconds = 50
 
 /**
+ * Creates the health of all upstreams of a node, none of them paused.
+ *
  * @example
  * const health = createUpstreamHealth()
- * health.failed(upstream.life, clock.now())
- * health.usable(upstream.life, clock.now()) // false
+ * health.failed(upstream.incarnation, clock.now())
+ * health.usable(upstream.incarnation, clock.now()) // false
  */
 export function createUpstreamHealth (): UpstreamHealth {
-  const pauses = new Map<UpstreamLife, Pause>()
+  const pauses = new Map<UpstreamIncarnation, Pause>()
   return {
-    failed: (life, now) => {
-      const failures = (pauses.get(life)?.failures ?? 0) + 1
-      pauses.set(life, { failures, until: now + Math.min(LONGEST_PAUSE, FIRST_PAUSE * 2 ** (failures - 1)) })
+    failed: (incarnation, now) => {
+      const failures = (pauses.get(incarnation)?.failures ?? 0) + 1
+      pauses.set(incarnation, { failures, until: now + Math.min(MAX_PAUSE, INITIAL_PAUSE * 2 ** (failures - 1)) })
     },
-    full: (life, now) => {
-      const failures = pauses.get(life)?.failures ?? 0
-      pauses.set(life, { failures, until: Math.max(pauses.get(life)?.until ?? 0, now + FULL_PAUSE) })
+    full: (incarnation, now) => {
+      const failures = pauses.get(incarnation)?.failures ?? 0
+      pauses.set(incarnation, { failures, until: Math.max(pauses.get(incarnation)?.until ?? 0, now + FULL_PAUSE) })
     },
-    answered: (life) => { pauses.delete(life) },
-    usable: (life, now) => now >= (pauses.get(life)?.until ?? 0),
-    keep: (lives) => {
-      for (const life of pauses.keys()) if (!lives.has(life)) pauses.delete(life)
+    answered: (incarnation) => { pauses.delete(incarnation) },
+    usable: (incarnation, now) => now >= (pauses.get(incarnation)?.until ?? 0),
+    retainOnly: (incarnations) => {
+      for (const incarnation of pauses.keys()) if (!incarnations.has(incarnation)) pauses.delete(incarnation)
     }
   }
 }
--- a/src/placement/speeds.ts
+++ b/src/placement/speeds.ts
@@ -1,38 +1,42 @@
-/** Speeds of all services' engines at one node: its own estimates, and those that the other nodes tell. */
+/** Speeds of the engines of all services: a node's own estimates combined with those that other nodes report. */
 import { combineSpeeds, createSpeedEstimator, roundSpeed } from './speed.js'
-import type { EngineSpeed, LearntSpeed, ReadingSample, SpeedEstimator } from './speed.js'
+import type { EngineSpeed, EstimatedSpeed, PrefillSample, SpeedEstimator } from './speed.js'
 
-/** What a node tells of the engines that it sees, by service. */
-export type ToldSpeeds = Readonly<Record<string, LearntSpeed>>
+/** Estimates that a node reports to others, by service. */
+export type ReportedSpeeds = Readonly<Record<string, EstimatedSpeed>>
 
-/** Speeds by service. */
+/** Engine speeds by service. */
 export interface EngineSpeeds {
-  observe (service: string, sample: ReadingSample): void
-  /** Takes in what was observed since the last time; to be called at even intervals. */
+  /** Adds a sample of the service's engines. */
+  observe (service: string, sample: PrefillSample): void
+  /** Refits the estimates to the samples observed since the last call. To be called at regular intervals. */
   update (): void
-  /** What the other live nodes last told. */
-  hear (others: readonly ToldSpeeds[]): void
+  /** Replaces the estimates of the other live nodes by their latest reports. */
+  receive (others: readonly ReportedSpeeds[]): void
+  /** Combined speed of the service's engines. */
   of (service: string): EngineSpeed
-  /** What this node has learnt itself. */
-  own (): ToldSpeeds
+  /** Estimates of this node alone, as reported to others. */
+  ownEstimates (): ReportedSpeeds
 }
 
-/** Digits that are told: an estimate isn't better than that. */
-const DIGITS = 3
+/** Significant digits that are reported. Estimates are no more precise than that. */
+const REPORTED_DIGITS = 3
 
 /**
+ * Creates the speeds of a node, with {@link ASSUMED_SPEED} for each service until there are samples or reports.
+ *
  * @example
  * const speeds = createEngineSpeeds()
- * readingTime(6_000, 5_000, speeds.of('plans'))
+ * prefillTime(6_000, 5_000, speeds.of('plans'))
  */
 export function createEngineSpeeds (): EngineSpeeds {
   const estimators = new Map<string, SpeedEstimator>()
   const combined = new Map<string, EngineSpeed>()
-  let told: readonly ToldSpeeds[] = []
+  let reported: readonly ReportedSpeeds[] = []
 
   function combine (service: string): EngineSpeed {
     const own = estimators.get(service)?.speed()
-    const others = told.map((speeds) => speeds[service]).filter((speed) => speed !== undefined)
+    const others = reported.map((speeds) => speeds[service]).filter((speed) => speed !== undefined)
     return combineSpeeds(own === undefined ? others : [own, ...others])
   }
 
@@ -46,8 +50,8 @@
       for (const estimator of estimators.values()) estimator.update()
       combined.clear()
     },
-    hear: (others) => {
-      told = others
+    receive: (others) => {
+      reported = others
       combined.clear()
     },
     of: (service) => {
@@ -55,6 +59,6 @@
       combined.set(service, known)
       return known
     },
-    own: () => Object.fromEntries([...estimators].map(([service, estimator]) => [service, roundSpeed(estimator.speed(), DIGITS)]))
+    ownEstimates: () => Object.fromEntries([...estimators].map(([service, estimator]) => [service, roundSpeed(estimator.speed(), REPORTED_DIGITS)]))
   }
 }
--- a/src/placement/types.ts
+++ b/src/placement/types.ts
@@ -1,70 +1,75 @@
-/** What placement knows of upstreams and requests. */
+/** Upstreams, requests and loads as placement sees them. */
 import * as z from 'zod'
 import type { Milliseconds } from '../clock.js'
 
 /**
- * Names one life of an upstream, from its start to its end. What is learnt of an upstream (its load, its failures,
- * its notice, its open connections) belongs to a life and goes by this; its id may come again with a next life that
- * knows nothing of before, and its address may come again with another upstream.
+ * Identifies one incarnation of an upstream, from its start to its end. Load, failures, reclaim notice and open connections
+ * are kept by incarnation, because a restarted upstream may have the same id with none of the earlier state, and another
+ * upstream may get the same address.
  */
-export const upstreamLifeSchema = z.string().brand('UpstreamLife')
-export type UpstreamLife = z.infer<typeof upstreamLifeSchema>
+export const upstreamIncarnationSchema = z.string().brand('UpstreamLife')
+export type UpstreamIncarnation = z.infer<typeof upstreamIncarnationSchema>
 
-/** One life of an upstream, as the registry tells it. */
+/** One incarnation of an upstream, as registered. */
 export interface UpstreamRecord {
-  /** What the upstream is called by; a restart may keep it. */
+  /** Name of the upstream. A restart may keep it. */
   readonly id: string
-  /** What was learnt of it belongs to this. */
-  readonly life: UpstreamLife
+  /** Key of all state that is kept about the upstream. */
+  readonly incarnation: UpstreamIncarnation
   readonly service: string
-  /** Version of its software; empty where it tells none. */
+  /** Version of its software; empty where the upstream gives none. */
   readonly version: string
   readonly address: string
   readonly failureDomain: string
-  /** Requests that it runs at once. */
+  /** Number of requests that it runs concurrently. */
   readonly slots: number
-  /** A leaving upstream takes no new work. */
+  /** A leaving upstream takes no new requests. */
   readonly leaving: boolean
-  /** Time until it is gone, where that is known. */
+  /** Time until it is gone; undefined where that is not known. */
   readonly leavesIn: Milliseconds | undefined
-  /** The platform may take it back at short notice. */
+  /** Whether the platform may reclaim its instance at short notice. */
   readonly reclaimable: boolean
 }
 
 /**
+ * Forms the identifier of an incarnation.
+ *
  * @param id of the upstream
- * @param born time of its start as it tells it; undefined where it doesn't, and then each start has an id of its own
+ * @param startedAt time of its start as registered; undefined where none is registered, in which case each start has a new
+ * id
  * @example
- * lifeOf('i-7', 1_790_000_000_000) // 'i-7@1790000000000'
+ * incarnationOf('i-7', 1_790_000_000_000) // 'i-7@1790000000000'
  */
-export function lifeOf (id: string, born: Milliseconds | undefined): UpstreamLife {
-  return (born === undefined ? id : `${id}@${born}`) as UpstreamLife
+export function incarnationOf (id: string, startedAt: Milliseconds | undefined): UpstreamIncarnation {
+  return (startedAt === undefined ? id : `${id}@${startedAt}`) as UpstreamIncarnation
 }
 
-/** One part of a prompt; parts are cached in order. */
+/** One part of a prompt. Engines cache parts in their order, as a prefix. */
 export interface PromptPart {
   readonly id: string
   readonly tokens: number
 }
 
-/** What a request asks of an upstream. */
-export interface Work {
+/** A request to be placed. */
+export interface PlacementRequest {
   readonly service: string
   readonly parts: readonly PromptPart[]
   /** Tokens of the whole prompt. */
   readonly promptTokens: number
-  /** Time within which its answer begins on time. */
+  /** Time to the first byte of the answer within which the request counts as in time. */
   readonly target: Milliseconds
-  /** It can't go on elsewhere once it has begun, and runs for longer than the notice of a reclaim. */
-  readonly bound: boolean
+  /**
+   * Whether a reclaim of the upstream loses the request: it cannot be moved once begun and runs for longer than the notice.
+   */
+  readonly lostOnReclaim: boolean
 }
 
-/** What one node has in flight at one upstream. */
+/** Requests of one node in flight at one upstream. */
 export interface NodeLoad {
   readonly requests: number
-  /** Reading of prompts that it has still to do before it can answer new ones. */
+  /** Prefill time still needed for these requests, before new ones can be answered. */
   readonly reading: Milliseconds
 }
 
-/** Loads by life of an upstream. */
-export type InFlight = Readonly<Record<UpstreamLife, NodeLoad>>
+/** Loads by incarnation of an upstream. */
+export type InFlight = Readonly<Record<UpstreamIncarnation, NodeLoad>>
--- a/src/quota/index.ts
+++ b/src/quota/index.ts
@@ -1,13 +1,13 @@
-/** Quotas of organisations and the retry budget, both shared by all nodes without a call at each request. */
+/** Quotas of organisations and the retry budget, both shared by all nodes without a remote call per request. */
 export { createQuotaLimiter } from './limiter.js'
-export type { QuotaDecision, QuotaLimiter, QuotaMargin, ToldUse, UnitRates } from './limiter.js'
+export type { QuotaDecision, QuotaLimiter, QuotaMargin, ReportedUsage, UnitRates } from './limiter.js'
 export { createQuotaLevel } from './level.js'
 export type { ObservedRates, QuotaLevel } from './level.js'
 export { createRetryBudget } from './retry-budget.js'
 export type { RetryBudget, RetryBudgetOptions } from './retry-budget.js'
-export { EVEN_PART, shareOf } from './share.js'
-export type { HeardDemand } from './share.js'
+export { EVEN_FRACTION, shareOf } from './share.js'
+export type { ReportedDemand } from './share.js'
 export { createTokenBucket } from './token-bucket.js'
 export type { TokenBucket } from './token-bucket.js'
-export { UNKNOWN_NODES } from './nodes.js'
+export { ASSUMED_NODES } from './nodes.js'
 export { createDemandRates } from './demand.js'
--- a/src/quota/limiter.ts
+++ b/src/quota/limiter.ts
@@ -1,59 +1,72 @@
-/** Quotas of all organisations at one node, and what it tells the other nodes of their use. */
+/** Enforces the quotas of all organisations at one node, and measures their use for reports to the other nodes. */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { Random } from '../random.js'
 import type { Organisation, Quota } from '../routing/index.js'
 import { createDemandRates } from './demand.js'
-import { createQuotaLevel, LONGEST_WAIT } from './level.js'
+import { createQuotaLevel, MAX_RETRY_AFTER } from './level.js'
 import type { ObservedRates, QuotaLevel } from './level.js'
-import { UNKNOWN_NODES } from './nodes.js'
+import { ASSUMED_NODES } from './nodes.js'
 import { shareOf } from './share.js'
 import { createTokenBucket } from './token-bucket.js'
 import type { TokenBucket } from './token-bucket.js'
 
-/** Answer to a request for units. */
+/** Outcome of a request for units. */
 export type QuotaDecision =
   | { readonly kind: 'granted' }
-  /** Over the quota; worth another try after `retryAfter`. `offered` is what all nodes are asked for, in units a second. */
+  /**
+   * Over the quota. The request may be retried after `retryAfter`. `offered` is what callers request at all nodes, in units
+   * a second.
+   */
   | { readonly kind: 'over', readonly retryAfter: Milliseconds, readonly offered: number }
 
 /** Units a second by organisation. */
 export type UnitRates = Readonly<Record<string, number>>
 
-/** What one or more nodes tell of the use of quotas. */
-export interface ToldUse {
+/** Use of quotas as reported for one or more nodes. */
+export interface ReportedUsage {
+  /** Number of nodes that the report covers. */
   readonly nodes: number
-  /** What callers ask for. */
+  /** Units that callers request. */
   readonly demand: UnitRates
-  /** What was let through. */
+  /** Units that were granted. */
   readonly granted: UnitRates
 }
 
-/** How far the sum of all nodes may be beyond a quota. */
+/** How far the sum over all nodes may exceed a quota. */
 export interface QuotaMargin {
-  /** Length of the sliding window in which it counts. */
+  /** Length of the sliding window in which use is counted. */
   readonly window: Milliseconds
-  /** Part of what the quota allows in a window. */
+  /** Allowed excess as a fraction of what the quota allows in a window. */
   readonly overshoot: number
-  /** Units beyond that. */
+  /** Allowed excess in units, in addition to `overshoot`. */
   readonly slack: number
 }
 
-/** Quotas at one node. */
+/** Quota limiter of one node. */
 export interface QuotaLimiter {
+  /** Requests units for a request of the organisation. */
   take (organisation: Organisation, cost: number, now: Milliseconds): QuotaDecision
-  /** A request that was granted did not run. */
-  giveBack (organisation: Organisation, cost: number): void
-  /** What the other live nodes last told; `nodes` counts all that may serve, this one as well. */
-  observe (others: readonly ToldUse[], nodes: number): void
+  /** Returns the units of a granted request that did not run. */
+  refund (organisation: Organisation, cost: number): void
+  /**
+   * Takes over the latest reports of the other live nodes. `nodes` is the number of all nodes that may serve, including
+   * this node.
+   */
+  observe (others: readonly ReportedUsage[], nodes: number): void
+  /** Units that callers request at this node. */
   demand (now: Milliseconds): UnitRates
+  /** Units that this node grants. */
   granted (now: Milliseconds): UnitRates
 }
 
-interface KnownQuota {
-  /** Of all nodes together. */
+interface TrackedQuota {
+  /** Level of the bucket shared by all nodes. */
   readonly level: QuotaLevel
-  /** This node's part; it holds the sum where others are heard of late, and binds only where parts are larger than requests. */
+  /**
+   * Bucket of this node's share. It bounds the sum while reports of others are late, and has an effect only where the
+   * share is larger than a request.
+   */
   readonly part: TokenBucket
   share: number
   rate: number
@@ -61,88 +74,91 @@
 }
 
 /**
- * Part of a quota's burst that a new process reckons with. Failure guarded against: a process that was
- * killed has spent what there was; its successor with a full level would let it through a second time.
+ * Fraction of a quota's burst that a new process starts with. Failure guarded against: a killed process may have granted
+ * the whole burst, and a successor that starts with a full level would grant it a second time.
  */
-const FIRST_FILL = 0.5
+const INITIAL_FILL_FRACTION = 0.5
 
 /**
- * Part of the margin that organisations may use at once, beside their burst. The rest is for what nodes let through before
- * they hear of each other.
+ * Fraction of the margin that organisations may use at once, in addition to their burst. The rest covers what nodes grant
+ * before they receive each other's reports.
  */
-const USED_MARGIN = 0.5
+const USABLE_MARGIN_FRACTION = 0.5
 
 /**
- * Part of the slack that each node's part is larger by. With it a part holds one or two long prompts, so that it doesn't
- * shut an organisation out at one node while others use less of their parts.
+ * Fraction of the slack that is added to each node's bucket. The bucket then holds one or two long prompts, so that it does
+ * not block an organisation at one node while other nodes use less than their shares.
  */
-const PART_SLACK = 0.25
+const NODE_SLACK_FRACTION = 0.25
 
-/** A share is dealt anew where it has changed by more than this. */
-const SHARE_STEP = 0.01
+/** A node's bucket is resized when its share has changed by more than this. */
+const MIN_SHARE_CHANGE = 0.01
 
-/** Half of what was let through is told as if it were later than this: as fast as the nodes hear of it. */
+/** Half-life of the granted rates, which matches the interval of reports between nodes. */
 const GRANTED_HALF_LIFE: Milliseconds = 400
 
-/** Demand is smoothed for longer, since a prompt may be a hundred times as long as another. */
+/** Half-life of the demand rates. It is longer, because prompts differ in length by a factor of a hundred. */
 const DEMAND_HALF_LIFE: Milliseconds = 800
 
 /**
- * @param random decides which requests pass where more come than may
+ * Creates a limiter without reports of other nodes.
+ *
+ * @param random decides which requests are admitted under overload
+ * @param margin by which the sum over all nodes may exceed a quota
  * @example
  * const limiter = createQuotaLimiter(random, { window: 8 * SECOND, overshoot: 0.1, slack: 140_000 })
  * limiter.take(organisation, 1_540, clock.now()).kind
  */
 export function createQuotaLimiter (random: Random, margin: QuotaMargin): QuotaLimiter {
-  const known = new Map<string, KnownQuota>()
+  const trackedQuotas = new Map<string, TrackedQuota>()
   const demand = createDemandRates(DEMAND_HALF_LIFE)
   const granted = createDemandRates(GRANTED_HALF_LIFE)
-  let others: readonly ToldUse[] = []
-  let nodes = UNKNOWN_NODES
+  let others: readonly ReportedUsage[] = []
+  let nodes = ASSUMED_NODES
 
-  function sizeOf ({ rate, burst }: Quota): number {
-    return burst + USED_MARGIN * (margin.overshoot * (rate * margin.window / SECOND + burst) + margin.slack)
+  function bucketSizeOf ({ rate, burst }: Quota): number {
+    return burst + USABLE_MARGIN_FRACTION * (margin.overshoot * (rate * margin.window / SECOND + burst) + margin.slack)
   }
 
-  function quotaOf (organisation: Organisation, now: Milliseconds): KnownQuota {
+  function trackedQuotaOf (organisation: Organisation, now: Milliseconds): TrackedQuota {
     const { quota, name } = organisation
     const { rate, burst } = quota
-    const size = sizeOf(quota)
-    const heard = { demand: sumOf(others, 'demand', name), nodes: others.reduce((sum, one) => sum + one.nodes, 0) }
-    const share = shareOf(demand.rates(now)[name] ?? 0, heard, nodes)
-    const partSize = size * share + margin.slack * PART_SLACK
-    const present = known.get(name)
-    if (present === undefined) {
-      const created = { level: createQuotaLevel(rate, size, FIRST_FILL * burst / size, now), part: createTokenBucket(rate * share, partSize, now), rate, burst, share }
-      created.part.take(burst * share * (1 - FIRST_FILL), now)
-      known.set(name, created)
+    const size = bucketSizeOf(quota)
+    const reported = { demand: sumOf(others, 'demand', name), nodes: others.reduce((sum, one) => sum + one.nodes, 0) }
+    const share = shareOf(demand.rates(now)[name] ?? 0, reported, nodes)
+    const nodeBucketSize = size * share + margin.slack * NODE_SLACK_FRACTION
+    const tracked = trackedQuotas.get(name)
+    if (tracked === undefined) {
+      const created = { level: createQuotaLevel(rate, size, INITIAL_FILL_FRACTION * burst / size, now), part: createTokenBucket(rate * share, nodeBucketSize, now), rate, burst, share }
+      created.part.take(burst * share * (1 - INITIAL_FILL_FRACTION), now)
+      trackedQuotas.set(name, created)
       return created
     }
-    const isChanged = present.rate !== rate || present.burst !== burst
-    if (isChanged) present.level.resize(rate, size)
-    if (isChanged || Math.abs(present.share - share) > SHARE_STEP) {
-      present.part.resize(rate * share, partSize, now)
-      Object.assign(present, { rate, burst, share })
+    const isChanged = tracked.rate !== rate || tracked.burst !== burst
+    if (isChanged) tracked.level.resize(rate, size)
+    if (isChanged || Math.abs(tracked.share - share) > MIN_SHARE_CHANGE) {
+      tracked.part.resize(rate * share, nodeBucketSize, now)
+      Object.assign(tracked, { rate, burst, share })
     }
-    return present
+    return tracked
   }
 
   /**
-   * Failure guarded against: a node that has just started or is cut off hears of no other use and would take the whole
-   * rate. Nodes that may serve and aren't heard of count with the mean of what is known.
+   * Failure guarded against: a node that has just started or is partitioned has no reports of others and would grant the
+   * whole rate. Nodes that may serve but have not reported are counted with the mean of the known rates.
    */
-  function ratesOf (organisation: string, now: Milliseconds): ObservedRates {
-    const heard = others.reduce((sum, one) => sum + one.nodes, 1)
-    const unheard = Math.max(0, nodes - heard)
+  function observedRatesOf (organisation: string, now: Milliseconds): ObservedRates {
+    const reportingNodes = others.reduce((sum, one) => sum + one.nodes, 1)
+    const unreportedNodes = Math.max(0, nodes - reportingNodes)
     const ownGranted = granted.rates(now)[organisation] ?? 0
-    const told = sumOf(others, 'demand', organisation)
+    const reportedDemand = sumOf(others, 'demand', organisation)
     const ownDemand = demand.rates(now)[organisation] ?? 0
-    const offered = (told + ownDemand) * (heard + unheard) / heard
+    const offered = (reportedDemand + ownDemand) * (reportingNodes + unreportedNodes) / reportingNodes
     const grantedByOthers = sumOf(others, 'granted', organisation)
     return {
       offered,
       offeredToOthers: offered - ownDemand,
-      grantedByOthers: grantedByOthers + unheard * (grantedByOthers + ownGranted) / heard
+      grantedByOthers: grantedByOthers + unreportedNodes * (grantedByOthers + ownGranted) / reportingNodes
     }
   }
 
@@ -151,22 +167,22 @@
       const { name } = organisation
       demand.add(name, cost, now)
       if (organisation.quota.rate <= 0) return { kind: 'granted' }
-      const { level, part } = quotaOf(organisation, now)
-      const rates = ratesOf(name, now)
-      const chance = level.chance(rates, now)
-      const passes = chance >= 1 || random.fraction() < chance
-      if (!passes || !part.take(cost, now)) return { kind: 'over', retryAfter: Math.min(LONGEST_WAIT, Math.max(level.wait(rates), part.wait(now))), offered: rates.offered }
+      const { level, part: nodeBucket } = trackedQuotaOf(organisation, now)
+      const rates = observedRatesOf(name, now)
+      const probability = level.admitProbability(rates, now)
+      const isAdmitted = probability >= 1 || random.fraction() < probability
+      if (!isAdmitted || !nodeBucket.take(cost, now)) return { kind: 'over', retryAfter: Math.min(MAX_RETRY_AFTER, Math.max(level.wait(rates), nodeBucket.wait(now))), offered: rates.offered }
       level.take(cost)
       granted.add(name, cost, now)
       return { kind: 'granted' }
     },
-    giveBack: (organisation, cost) => {
-      const quota = known.get(organisation.name)
-      quota?.level.giveBack(cost)
-      quota?.part.giveBack(cost)
+    refund: (organisation, cost) => {
+      const quota = trackedQuotas.get(organisation.name)
+      quota?.level.refund(cost)
+      quota?.part.refund(cost)
     },
-    observe: (told, count) => {
-      others = told
+    observe: (reports, count) => {
+      others = reports
       nodes = Math.max(1, count)
     },
     demand: demand.rates,
@@ -174,6 +190,6 @@
   }
 }
 
-function sumOf (told: readonly ToldUse[], rates: 'demand' | 'granted', organisation: string): number {
-  return told.reduce((sum, one) => sum + (one[rates][organisation] ?? 0), 0)
+function sumOf (reports: readonly ReportedUsage[], rates: 'demand' | 'granted', organisation: string): number {
+  return reports.reduce((sum, one) => sum + (one[rates][organisation] ?? 0), 0)
 }
--- a/src/quota/nodes.ts
+++ b/src/quota/nodes.ts
@@ -1,9 +1,9 @@
 /**
- * Nodes that a process reckons with until it has read their records.
+ * Number of nodes that a process assumes until it has read the node records.
  *
- * Failure guarded against: all nodes are killed at once, each comes back knowing only itself, and takes the whole of
- * what all may use together for half a second: organisations get several times their quota, and upstreams several
- * times the retries that are allowed. More than the nodes that all exchange directly; larger deployments are listed
- * within some 50 ms of the configuration, before which nothing is served.
+ * Failure guarded against: all nodes are killed at once. Each restarts knowing only itself and uses the shared limits alone
+ * for half a second. Organisations get several times their quota, and upstreams several times the allowed retries. The
+ * number is at least that of nodes that exchange states directly. In larger deployments the node records are read within
+ * some 50 ms of the configuration, and nothing is served before the configuration is read.
  */
-export const UNKNOWN_NODES = 16
+export const ASSUMED_NODES = 16
--- a/src/quota/retry-budget.ts
+++ b/src/quota/retry-budget.ts
@@ -1,39 +1,41 @@
 /**
- * Bound on attempts beyond the first, for one service at one node (the retry budget of Google's SRE
- * book, chapter 22). All nodes together keep to ratio x requests + extra in any window, since each keeps
- * to its part: the ratio of its own requests and an even part of the extra.
+ * Bound on retries for one service at one node (the retry budget of Google's SRE book, chapter 22). The sum over all nodes
+ * keeps to ratio x requests + extra in any window, because each node keeps to its share: the ratio of its own requests and
+ * an equal share of the extra.
  */
 import type { Milliseconds } from '../clock.js'
 
-/** Attempts that may still be made. */
+/** Retries that a node may make. */
 export interface RetryBudget {
-  /** A request's first attempt. */
+  /** Counts a request, at its first attempt. */
   request (now: Milliseconds): void
-  /** Takes one further attempt, if there is one left. */
+  /** Takes one retry. @returns false where none is left */
   take (now: Milliseconds): boolean
-  /** Further attempts that may be made now. */
+  /** Number of retries that are left now; may be fractional or negative. */
   left (now: Milliseconds): number
-  /** Nodes that share the extra. */
-  share (nodes: number): void
+  /** Sets the number of nodes that share the extra retries. */
+  setNodeCount (nodes: number): void
 }
 
 /** Sizes of a budget. */
 export interface RetryBudgetOptions {
-  /** Further attempts for each request. */
+  /** Retries per request. */
   readonly ratio: number
-  /** Further attempts beyond that, over all nodes. */
+  /** Retries in addition to that, for all nodes together. */
   readonly extra: number
   /** Length of the sliding window. */
   readonly window: Milliseconds
 }
 
 /**
- * Part of the allowed attempts that is used. The rest covers a node whose predecessor under the same
- * name spent its part just before it died, and what arrives in a later window than it was counted in.
+ * Fraction of the allowed retries that is used. The rest covers a restarted node whose predecessor spent its share just
+ * before it died, and retries that reach the upstream in a later window than they were counted in.
  */
-const USED_PART = 0.7
+const USED_FRACTION = 0.7
 
 /**
+ * Creates a budget for a single node; see {@link RetryBudget.setNodeCount}.
+ *
  * @example
  * const budget = createRetryBudget({ ratio: 0.2, extra: 58, window: 10 * SECOND })
  */
@@ -43,9 +45,9 @@
   let nodes = 1
 
   function left (now: Milliseconds): number {
-    forget(requests, now - window)
-    forget(taken, now - window)
-    return USED_PART * (ratio * requests.length + extra / nodes) - taken.length
+    dropBefore(requests, now - window)
+    dropBefore(taken, now - window)
+    return USED_FRACTION * (ratio * requests.length + extra / nodes) - taken.length
   }
 
   return {
@@ -56,11 +58,11 @@
       return true
     },
     left,
-    share: (count) => { nodes = Math.max(1, count) }
+    setNodeCount: (count) => { nodes = Math.max(1, count) }
   }
 }
 
-function forget (times: Milliseconds[], before: Milliseconds): void {
+function dropBefore (times: Milliseconds[], before: Milliseconds): void {
   let count = 0
   while (count < times.length && times[count]! < before) count += 1
   if (count > 0) times.splice(0, count)
--- a/src/quota/share.ts
+++ b/src/quota/share.ts
@@ -1,36 +1,40 @@
 /**
- * This node's share of what an organisation may use over all nodes together.
+ * Computes this node's share of an organisation's quota.
  *
- * The shares of all nodes add up to one, so the sum of what the nodes let through keeps to the rate
- * whatever is late or lost between them. A part is even, so that a node with a first request of an
- * organisation needn't ask; the rest follows demand.
+ * The shares of all nodes add up to 1, so the sum of the grants keeps to the rate even if reports are late or lost. A
+ * fraction of the rate is divided equally, so that a node can serve the first request of an organisation without a remote
+ * call. The rest is divided by demand.
  *
- * Failure guarded against: a node that has just started or is cut off hears of no other demand and would
- * take the whole rate. Nodes that may serve and aren't heard of count with the mean of what is known.
+ * Failure guarded against: a node that has just started or is partitioned has no reports of other demand and would take the
+ * whole rate. Nodes that may serve but have not reported are counted with the mean of the known demand.
  */
 
-/** Demand of several nodes together, in units a second. */
-export interface HeardDemand {
+/** Demand reported for several nodes together, in units a second. */
+export interface ReportedDemand {
   readonly demand: number
   readonly nodes: number
 }
 
-/** Part of the rate that is dealt evenly. Chosen so that three nodes of nine can take all demand at 0.8 of the rate. */
-export const EVEN_PART = 0.25
+/**
+ * Fraction of the rate that is divided equally. With this value three of nine nodes can take all demand at 0.8 of the rate.
+ */
+export const EVEN_FRACTION = 0.25
 
 /**
- * @param own this node's recent demand of the organisation, in units a second
- * @param others the same of the other live nodes together, as last heard, and how many these are
- * @param nodes nodes that may serve, this one included; at least 1
+ * Computes this node's share of an organisation's quota.
+ *
+ * @param own recent demand of the organisation at this node, in units a second
+ * @param others latest reported demand of the other live nodes, and their number
+ * @param nodes number of nodes that may serve, including this node; at least 1
  * @returns a number above 0 and at most 1
  * @example
  * shareOf(300, { demand: 100, nodes: 2 }, 3) // 0.646
  */
-export function shareOf (own: number, others: HeardDemand, nodes: number): number {
+export function shareOf (own: number, others: ReportedDemand, nodes: number): number {
   const even = 1 / Math.max(1, nodes)
-  const heard = own + others.demand
-  const unheard = Math.max(0, nodes - 1 - others.nodes)
-  const total = heard + unheard * heard / (others.nodes + 1)
+  const reported = own + others.demand
+  const unreported = Math.max(0, nodes - 1 - others.nodes)
+  const total = reported + unreported * reported / (others.nodes + 1)
   if (total <= 0) return even
-  return EVEN_PART * even + (1 - EVEN_PART) * own / total
+  return EVEN_FRACTION * even + (1 - EVEN_FRACTION) * own / total
 }
--- a/src/rollout/evidence.ts
+++ b/src/rollout/evidence.ts
@@ -1,100 +1,109 @@
 /**
- * What nodes saw of a version and of those that served before it: counts of failures and of answer times, by route.
+ * Evidence on a tried version and on the serving versions: counts of failures and of answer times, by route.
  *
- * A node sees a few requests a second, and the new version gets some hundredths of them, so only sums over all nodes
- * tell anything. Times are kept as counts by size, which add up exactly and whose order of arrival doesn't matter.
+ * A node gets a few requests a second, and the tried version gets a few per cent of them, so only the sums over all nodes
+ * are significant. Times are kept as a histogram, because histograms can be added exactly and in any order.
  */
 import * as z from 'zod'
 import type { Milliseconds } from '../clock.js'
 
-/** Answers by their time relative to what was expected, in {@link STEPS_OF_DOUBLING} steps for each doubling. */
+/**
+ * Number of answers by step of their time relative to the expected time, with {@link STEPS_PER_DOUBLING} steps per
+ * doubling.
+ */
 const timesSchema = z.record(z.string(), z.number().int().nonnegative())
 
 const sideSchema = z.object({ failures: z.number().int().nonnegative(), times: timesSchema })
 
-/** Answers of the upstreams of one side on one route. */
+/** Answers of one side on one route. */
 export type SideEvidence = z.infer<typeof sideSchema>
 
 const routeSchema = z.object({ serving: sideSchema, tried: sideSchema })
 
-/** Both sides on one route. */
+/** Answers of both sides on one route. */
 export type RouteEvidence = z.infer<typeof routeSchema>
 
-/** What one node, or several, saw since an order. */
+/** Evidence of one or more nodes since an order. */
 export const versionEvidenceSchema = z.object({
   /** Revision of the order. */
   order: z.number(),
-  /** Sends to upstreams of any version. */
+  /** Number of attempts at upstreams of any version. */
   sent: z.number().int().nonnegative(),
-  /** Of these the ones to the tried version. */
+  /** Number of attempts at upstreams of the tried version. */
   exposed: z.number().int().nonnegative(),
-  /** Nodes that begin nothing at the versions before, since they know of the cutover. */
+  /** Number of nodes that know of the cutover and start no requests at other versions. */
   followers: z.number().int().nonnegative(),
   routes: z.record(z.string(), routeSchema)
 })
 export type VersionEvidence = z.infer<typeof versionEvidenceSchema>
 
-/** Side of a comparison. */
+/** Side of the comparison. */
 export type Side = 'serving' | 'tried'
 
-/** Steps for each doubling of a time: neighbouring steps differ by 1.4. */
-export const STEPS_OF_DOUBLING = 2
+/** Steps per doubling of a time. Neighbouring steps differ by a factor of 1.4. */
+export const STEPS_PER_DOUBLING = 2
+
+/** Slowest step, about an hour where a millisecond was expected. */
+const MAX_STEP = 44
 
-/** Slowest and fastest step that are told apart: from a thousandth of what was expected to an hour for a millisecond. */
-const LARGEST_STEP = 44
-const SMALLEST_STEP = -20
+/** Fastest step, a thousandth of the expected time. */
+const MIN_STEP = -20
 
 /**
- * Step of a time.
+ * Computes the histogram step of an answer time.
  *
- * @param expected by the work of the request; 1 where nothing is known
+ * @param took time of the answer
+ * @param expected time expected from the work of the request; 1 where it is unknown
  * @example
- * stepOf(120, 60) // 2: twice as long
+ * timeStepOf(120, 60) // 2: twice as long
  */
-export function stepOf (took: Milliseconds, expected: Milliseconds): number {
-  const step = Math.round(STEPS_OF_DOUBLING * Math.log2(Math.max(took, 1) / Math.max(expected, 1)))
-  return Math.min(LARGEST_STEP, Math.max(SMALLEST_STEP, step))
+export function timeStepOf (took: Milliseconds, expected: Milliseconds): number {
+  const step = Math.round(STEPS_PER_DOUBLING * Math.log2(Math.max(took, 1) / Math.max(expected, 1)))
+  return Math.min(MAX_STEP, Math.max(MIN_STEP, step))
 }
 
-/** Steps that occur, with the number of answers of each. */
-export function stepsOf (side: SideEvidence): [step: number, count: number][] {
+/** Lists the steps that occur, with the number of answers of each. */
+export function countsByStep (side: SideEvidence): [step: number, count: number][] {
   return Object.entries(side.times).map(([step, count]) => [Number(step), count])
 }
 
-/** All answers of a side, failures included. */
-export function answersOf (side: SideEvidence): number {
+/** Counts all answers of a side, failures included. */
+export function answerCount (side: SideEvidence): number {
   return Object.values(side.times).reduce((sum, count) => sum + count, side.failures)
 }
 
-export function noEvidence (order: number): VersionEvidence {
+/** Creates evidence without answers for an order, given by its revision. */
+export function emptyEvidence (order: number): VersionEvidence {
   return { order, sent: 0, exposed: 0, followers: 0, routes: {} }
 }
 
-export function emptyRoute (): RouteEvidence {
+/** Creates evidence of a route without answers. */
+export function emptyRouteEvidence (): RouteEvidence {
   return { serving: { failures: 0, times: {} }, tried: { failures: 0, times: {} } }
 }
 
 /**
- * Sums of what several nodes saw, by service; of different orders only the latest counts.
+ * Sums the evidence of several nodes by service. Where the nodes have evidence on different orders, only the latest order
+ * counts.
  *
  * @example
  * mergeEvidence([own, ...others])['plans']?.exposed
  */
-export function mergeEvidence (parts: readonly Readonly<Record<string, VersionEvidence>>[]): Record<string, VersionEvidence> {
+export function mergeEvidence (reports: readonly Readonly<Record<string, VersionEvidence>>[]): Record<string, VersionEvidence> {
   const merged: Record<string, VersionEvidence> = {}
-  for (const part of parts) {
-    for (const [service, evidence] of Object.entries(part)) merged[service] = mergeTwo(merged[service], evidence)
+  for (const report of reports) {
+    for (const [service, evidence] of Object.entries(report)) merged[service] = mergeVersionEvidence(merged[service], evidence)
   }
   return merged
 }
 
-/** Shares nothing with what it is made from: a node goes on counting in its own evidence. */
-function mergeTwo (known: VersionEvidence | undefined, right: VersionEvidence): VersionEvidence {
-  const left = known === undefined || known.order < right.order ? noEvidence(right.order) : known
+/** The result shares no objects with the arguments, because a node goes on counting in its own evidence. */
+function mergeVersionEvidence (known: VersionEvidence | undefined, right: VersionEvidence): VersionEvidence {
+  const left = known === undefined || known.order < right.order ? emptyEvidence(right.order) : known
   if (left.order > right.order) return left
   const routes = { ...left.routes }
   for (const [name, route] of Object.entries(right.routes)) {
-    const { serving, tried } = routes[name] ?? emptyRoute()
+    const { serving, tried } = routes[name] ?? emptyRouteEvidence()
     routes[name] = { serving: mergeSides(serving, route.serving), tried: mergeSides(tried, route.tried) }
   }
   return {
--- a/src/rollout/exposure.ts
+++ b/src/rollout/exposure.ts
@@ -1,50 +1,63 @@
 /**
- * Which of a node's requests try a new version.
+ * Selects the requests of a node that try a new version.
  *
- * Failure guarded against: a bad version gets more of the traffic than operators allow, since each node decides by what
- * it knows. Each node sends its own part of its own requests, whatever the others do, so that the sum keeps to the bound
- * without a word between them: right after the order, while nodes come and go, and while nobody decides.
+ * Failure guarded against: a bad version gets more traffic than operators allow, because each node decides by its own
+ * knowledge. Therefore each node sends the fraction given by the stage, of its own requests only, to the tried version,
+ * independently of the other nodes. The sum keeps to the bound without communication: right after the order, while nodes
+ * join and leave, and while no node holds the roll-out duty.
  */
 import type { Random } from '../random.js'
 import type { RolloutBounds } from './types.js'
 
-/** Deals a node's requests to the tried version. */
+/** A node's share of the requests that try the version. */
 export interface ExposureShare {
-  /** Whether the next request tries the new version, where this part of them does. */
-  take (part: number): boolean
+  /** Whether the next request tries the new version, if this fraction of the requests does. */
+  take (fraction: number): boolean
 }
 
-/** Part of the bound that a canary uses. The rest is for a probe, and for requests that are counted at one side only. */
-const CANARY_PART = 0.8
+/**
+ * Fraction of the bound that a canary uses. The rest is for the probe, and for requests that only one of the compared sums
+ * includes.
+ */
+const CANARY_FRACTION = 0.8
 
 /**
- * Part of the extra requests that are sent ahead, for the first evidence. Nodes that start anew send theirs again; with
- * all of them restarted once within an order there is still a fifth left.
+ * Fraction of the extra requests that are sent first, to get early evidence. Restarted nodes send theirs again. If all
+ * nodes restart once during an order, a fifth of the extra requests is still left.
  */
-const AHEAD_PART = 0.4
+const UPFRONT_EXTRA_FRACTION = 0.4
 
-/** Part of the requests that a probe sends at most: a few upstreams then get what they would in the end. */
-const MOST_PROBED = 0.35
+/** Largest fraction of the requests in a probe. A few upstreams then get as many requests each as after the cutover. */
+const MAX_PROBE_FRACTION = 0.35
 
-/** Part of the room under the bound that a probe may use; what it was reckoned from is seconds old. */
-const PROBE_ROOM_PART = 0.5
+/**
+ * Fraction of the headroom under the bound that a probe may use, because the headroom is computed from sums that are
+ * seconds old.
+ */
+const PROBE_HEADROOM_FRACTION = 0.5
 
-/** A probe that isn't several times the canary shows nothing new. */
-const LEAST_PROBED = 0.15
+/**
+ * Smallest useful fraction of the requests in a probe. A probe not larger than the canary by some margin gives no new
+ * evidence.
+ */
+const MIN_PROBE_FRACTION = 0.15
 
 /**
- * @param bounds on all nodes together
- * @param nodes that deal the extra requests between them
+ * Creates a node's share.
+ *
+ * @param bounds for all nodes together
+ * @param nodes number of nodes among which the extra requests are divided
+ * @param random gives the starting phase
  * @example
  * const share = createExposureShare(bounds, 82, random)
- * share.take(canaryPart(bounds))
+ * share.take(canaryFraction(bounds))
  */
 export function createExposureShare (bounds: RolloutBounds, nodes: number, random: Random): ExposureShare {
-  // A random phase: otherwise the first requests of all nodes would be held back, or sent, at the same time.
-  let credit = random.fraction() + bounds.exposedExtra * AHEAD_PART / Math.max(1, nodes)
+  // Without a random phase all nodes would send, or hold back, their first requests at the same time.
+  let credit = random.fraction() + bounds.exposedExtra * UPFRONT_EXTRA_FRACTION / Math.max(1, nodes)
   return {
-    take: (part) => {
-      credit += part
+    take: (fraction) => {
+      credit += fraction
       if (credit < 1) return false
       credit -= 1
       return true
@@ -53,31 +66,36 @@
 }
 
 /**
+ * Computes the fraction of the requests that a canary sends to the tried version.
+ *
  * @example
- * canaryPart({ exposedPart: 0.1, exposedExtra: 50 }) // 0.08
+ * canaryFraction({ exposedPart: 0.1, exposedExtra: 50 }) // 0.08
  */
-export function canaryPart ({ exposedPart }: RolloutBounds): number {
-  return exposedPart * CANARY_PART
+export function canaryFraction ({ exposedPart }: RolloutBounds): number {
+  return exposedPart * CANARY_FRACTION
 }
 
-/** What a probe is reckoned from; sums over all nodes. */
-export interface ProbeSituation {
+/** Sums over all nodes from which a probe is computed. */
+export interface ProbeInput {
+  /** Number of attempts since the order. */
   readonly sent: number
+  /** Number of attempts at the tried version. */
   readonly exposed: number
   /** Requests a second. */
   readonly rate: number
-  /** Seconds for which all nodes together send the probe's part. */
-  readonly lasts: number
+  /** Duration of the probe. */
+  readonly durationSeconds: number
 }
 
 /**
- * Part of the requests that a probe may send; undefined where there is no room for one that tells anything.
+ * Computes the fraction of the requests that a probe may send to the tried version.
  *
+ * @returns undefined where the headroom is too small for a useful probe
  * @example
- * probePart({ exposedPart: 0.1, exposedExtra: 50 }, { sent: 2_000, exposed: 120, rate: 200, lasts: 1.5 }) // 0.22
+ * probeFraction({ exposedPart: 0.1, exposedExtra: 50 }, { sent: 2_000, exposed: 120, rate: 200, durationSeconds: 1.5 }) // 0.22
  */
-export function probePart (bounds: RolloutBounds, { sent, exposed, rate, lasts }: ProbeSituation): number | undefined {
-  const room = (bounds.exposedPart * sent + bounds.exposedExtra - exposed) * PROBE_ROOM_PART
-  const part = Math.min(MOST_PROBED, room / Math.max(1, rate * lasts))
-  return part < LEAST_PROBED ? undefined : part
+export function probeFraction (bounds: RolloutBounds, { sent, exposed, rate, durationSeconds }: ProbeInput): number | undefined {
+  const headroom = (bounds.exposedPart * sent + bounds.exposedExtra - exposed) * PROBE_HEADROOM_FRACTION
+  const fraction = Math.min(MAX_PROBE_FRACTION, headroom / Math.max(1, rate * durationSeconds))
+  return fraction < MIN_PROBE_FRACTION ? undefined : fraction
 }
--- a/src/rollout/index.ts
+++ b/src/rollout/index.ts
@@ -1,12 +1,12 @@
-/** Roll-outs of versions: who gets what, what is seen of it, and what follows. */
+/** Roll-outs of versions: exposure of requests, evidence, verdict and stages. */
 export type { RolloutBounds, RolloutEvidence, RolloutOrder, RolloutStage, RolloutStatus } from './types.js'
-export { answers, isBehind, roleOf, sameOrder } from './versions.js'
+export { isAnswerTo, isSuperseded, roleOf, withKnownRevision } from './versions.js'
 export type { VersionRole } from './versions.js'
-export { emptyRoute, mergeEvidence, noEvidence, stepOf, versionEvidenceSchema } from './evidence.js'
+export { emptyRouteEvidence, mergeEvidence, emptyEvidence, timeStepOf, versionEvidenceSchema } from './evidence.js'
 export type { RouteEvidence, Side, SideEvidence, VersionEvidence } from './evidence.js'
 export { createVersionTest } from './verdict.js'
 export type { FaultKind, Verdict, VersionTest } from './verdict.js'
-export { canaryPart, createExposureShare } from './exposure.js'
+export { canaryFraction, createExposureShare } from './exposure.js'
 export type { ExposureShare } from './exposure.js'
 export { nextStatus, PROBE_TIME } from './steps.js'
 export type { RolloutSituation } from './steps.js'
--- a/src/rollout/steps.ts
+++ b/src/rollout/steps.ts
@@ -1,138 +1,151 @@
 /**
- * The next step of a roll-out, decided by one node at a time.
+ * Decides the next stage of a roll-out. Only the node that holds the roll-out duty calls this.
  *
- * Load pattern answered: the deployment's own, over seconds. A version is tried for as long as the order's time allows,
- * since it may turn bad later; what is left is for the cutover. Without evidence nothing is decided: a good version that
- * comes late is less harm than a bad one that serves.
+ * A version is tried for as long as the duration of the order allows, because it may turn bad later. The rest of the
+ * duration is for the cutover. Without evidence nothing is decided, because a delayed good version does less harm than a
+ * bad version that serves.
  */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
-import { probePart } from './exposure.js'
-import { answers } from './versions.js'
+import { probeFraction } from './exposure.js'
+import { isAnswerTo } from './versions.js'
 import type { RolloutBounds, RolloutOrder, RolloutStage, RolloutStatus } from './types.js'
 import type { Verdict } from './verdict.js'
 
-/** What a step is decided from. */
+/** Input of a decision. */
 export interface RolloutSituation {
   readonly bounds: RolloutBounds
   readonly verdict: Verdict
-  /** Since the order, by the wall time that the nodes agree on. */
+  /** Time since the order, by the shared wall clock. */
   readonly elapsed: Milliseconds
-  /** For which this node has known the present stage. */
-  readonly inStage: Milliseconds
-  /** Upstreams that may take requests. */
+  /** Time for which this node has known the current stage. */
+  readonly timeInStage: Milliseconds
+  /** Number of upstreams of the tried version that may take requests. */
   readonly tried: number
+  /** Number of upstreams of the serving versions that may take requests. */
   readonly serving: number
-  /** Versions of the service whose upstreams are registered. */
+  /** Versions of the service with registered upstreams. */
   readonly versions: readonly string[]
-  /** Live nodes, and those of them that begin nothing at the versions before. */
+  /** Number of live nodes. */
   readonly nodes: number
+  /** Number of live nodes that start no requests at other versions. */
   readonly followers: number
-  /** Requests that still run at the versions before, as all nodes told. */
-  readonly runningBefore: number
-  /** Sends since the order, those of them to the tried version, and sends a second. */
+  /** Number of requests that still run at other versions, as reported by all nodes. */
+  readonly runningAtOtherVersions: number
+  /** Number of attempts since the order. */
   readonly sent: number
+  /** Number of attempts at the tried version since the order. */
   readonly exposed: number
+  /** Attempts a second. */
   readonly rate: number
 }
 
-/** A cutover takes some seconds: nodes hear of it, and what runs at the versions before ends. */
+/** Time reserved for a cutover, in which the nodes receive it and requests at other versions end. */
 const CUTOVER_TIME: Milliseconds = 6 * SECOND
 
-/** Where an order leaves little time, half of it is still for the trial. */
-const LEAST_TRIED_PART = 0.5
+/** Smallest fraction of the order's duration that is used for the trial, even if the duration is short. */
+const MIN_TRIAL_FRACTION = 0.5
 
-/** How long each node sends a probe's part. */
+/** Time for which each node sends the larger fraction of a probe. */
 export const PROBE_TIME: Milliseconds = 1_200
 
-/** Reports of all nodes on a probe have arrived: members' and aggregators' periods, and a slow answer. */
-const PROBE_SETTLES: Milliseconds = 1_600
+/**
+ * Time until the reports of all nodes on a probe have arrived: the report periods of members and aggregators, and a slow
+ * answer.
+ */
+const PROBE_REPORT_TIME: Milliseconds = 1_600
 
-/** Part of the present upstreams that the new version needs for all of the traffic. */
-const LEAST_TRIED_UPSTREAMS = 0.5
+/** The tried version needs at least this fraction of the number of serving upstreams to take all traffic. */
+const MIN_TRIED_UPSTREAM_FRACTION = 0.5
 
-/** Shortest cutover: nodes that know of it have told what still runs. */
-const SHORTEST_CUTOVER: Milliseconds = 1_200
+/** Shortest cutover. Within this time, nodes that know of it have reported which requests still run. */
+const MIN_CUTOVER_TIME: Milliseconds = 1_200
 
-/** A node that hasn't told for so long is dead or cut off, and is in no answer to callers any more. */
-const FOLLOWED_BY: Milliseconds = 8 * SECOND
+/** A node without a report for this time is dead or partitioned, and its address is no longer returned to callers. */
+const FOLLOWER_TIMEOUT: Milliseconds = 8 * SECOND
 
 /**
- * The status to be written; undefined while the present one stands.
+ * Computes the next status of a roll-out.
  *
- * @param status the latest in the store; it may answer an earlier order
- * @param situation undefined where nothing is compared: the order isn't answered yet, or is decided
- * @param now wall time that the nodes agree on
+ * @param order the order in force
+ * @param status latest status in the store, which may belong to an earlier order
+ * @param situation undefined where versions are not compared, because the order has no status yet or is decided
+ * @param now time of the shared wall clock
+ * @returns the status to be written; undefined where the status does not change
  * @example
  * nextStatus(order, undefined, undefined, wall)?.stage // 'canary'
  */
 export function nextStatus (order: RolloutOrder, status: RolloutStatus | undefined, situation: RolloutSituation | undefined, now: Milliseconds): RolloutStatus | undefined {
-  if (!answers(status, order)) return begin(order, status, now)
+  if (!isAnswerTo(status, order)) return initialStatus(order, status, now)
   if (situation === undefined) return undefined
   const stage = nextStage(order, status.stage, situation)
   if (stage === status.stage) return undefined
   switch (stage) {
-    case 'probe': return { ...status, stage, probedPart: probeOf(situation) }
-    case 'done': return { ...status, stage, avoided: avoid(status.avoided, situation.versions, status.version) }
+    case 'probe': return { ...status, stage, probedPart: probeFractionOf(situation) }
+    case 'done': return { ...status, stage, avoided: addAvoided(status.avoided, situation.versions, status.version) }
     case 'canary':
     case 'cutover':
     case 'rolled-back': return { ...status, stage }
   }
 }
 
-/** The first answer to an order. A version that serves already has nothing to be tried for. */
-function begin (order: RolloutOrder, before: RolloutStatus | undefined, now: Milliseconds): RolloutStatus {
+/** First status of an order. A version that already serves is done without a trial. */
+function initialStatus (order: RolloutOrder, before: RolloutStatus | undefined, now: Milliseconds): RolloutStatus {
   const { service, version, revision } = order
-  const serves = before?.stage === 'done' && before.version === version
-  const givenUp = before === undefined || before.stage === 'done' ? [] : [before.version]
-  return { service, version, order: revision, stage: serves ? 'done' : 'canary', probedPart: undefined, orderedAt: now, avoided: avoid(before?.avoided ?? [], givenUp, version) }
+  const isServing = before?.stage === 'done' && before.version === version
+  const abandoned = before === undefined || before.stage === 'done' ? [] : [before.version]
+  return { service, version, order: revision, stage: isServing ? 'done' : 'canary', probedPart: undefined, orderedAt: now, avoided: addAvoided(before?.avoided ?? [], abandoned, version) }
 }
 
 function nextStage (order: RolloutOrder, stage: RolloutStage, situation: RolloutSituation): RolloutStage {
-  const { verdict, inStage } = situation
+  const { verdict, timeInStage: inStage } = situation
   switch (stage) {
     case 'done':
     case 'rolled-back': return stage
     case 'canary':
       if (verdict.kind === 'bad') return 'rolled-back'
       if (verdict.kind !== 'good' || !isDue(order, situation) || !hasUpstreams(situation)) return stage
-      return probeOf(situation) === undefined ? 'cutover' : 'probe'
+      return probeFractionOf(situation) === undefined ? 'cutover' : 'probe'
     case 'probe':
       if (verdict.kind === 'bad') return 'rolled-back'
-      return inStage >= PROBE_TIME + PROBE_SETTLES && verdict.kind === 'good' ? 'cutover' : stage
+      return inStage >= PROBE_TIME + PROBE_REPORT_TIME && verdict.kind === 'good' ? 'cutover' : stage
     case 'cutover':
       if (verdict.kind === 'bad') return 'rolled-back'
       return isDrained(situation) && isConfirmed(situation) ? 'done' : stage
   }
 }
 
-/** The version is tried until what is left of its time is needed for the cutover. */
+/** The trial ends when the remaining time is needed for the probe and the cutover. */
 function isDue ({ duration }: RolloutOrder, { elapsed }: RolloutSituation): boolean {
-  return elapsed >= Math.max(duration * LEAST_TRIED_PART, duration - CUTOVER_TIME - PROBE_TIME - PROBE_SETTLES)
+  return elapsed >= Math.max(duration * MIN_TRIAL_FRACTION, duration - CUTOVER_TIME - PROBE_TIME - PROBE_REPORT_TIME)
 }
 
 function hasUpstreams ({ tried, serving }: RolloutSituation): boolean {
-  return tried > 0 && tried >= serving * LEAST_TRIED_UPSTREAMS
+  return tried > 0 && tried >= serving * MIN_TRIED_UPSTREAM_FRACTION
 }
 
 /**
- * Failure guarded against: the versions before are stopped without notice once the roll-out is done; a request that
- * still ran there, or that a node sends there since it hasn't heard, would be lost.
+ * Whether no request runs at other versions any more. Failure guarded against: upstreams of other versions are stopped
+ * without notice once the roll-out is done. A request that still runs there would be lost, and so would a request from a
+ * node that has not received the cutover.
  */
-function isDrained ({ inStage, nodes, followers, runningBefore }: RolloutSituation): boolean {
-  if (inStage < SHORTEST_CUTOVER || runningBefore > 0) return false
-  return followers >= nodes || inStage >= FOLLOWED_BY
+function isDrained ({ timeInStage: inStage, nodes, followers, runningAtOtherVersions: runningBefore }: RolloutSituation): boolean {
+  if (inStage < MIN_CUTOVER_TIME || runningBefore > 0) return false
+  return followers >= nodes || inStage >= FOLLOWER_TIMEOUT
 }
 
-/** All nodes may have been killed, and with them what they saw; it was good before, and nothing has spoken against it since. */
-function isConfirmed ({ verdict, inStage }: RolloutSituation): boolean {
-  return verdict.kind === 'good' || inStage >= FOLLOWED_BY
+/**
+ * Whether the good verdict still holds. If all nodes were killed and the evidence is lost, the earlier good verdict counts
+ * after {@link FOLLOWER_TIMEOUT} without a bad one.
+ */
+function isConfirmed ({ verdict, timeInStage: inStage }: RolloutSituation): boolean {
+  return verdict.kind === 'good' || inStage >= FOLLOWER_TIMEOUT
 }
 
-function probeOf ({ bounds, sent, exposed, rate }: RolloutSituation): number | undefined {
-  return probePart(bounds, { sent, exposed, rate, lasts: PROBE_TIME / SECOND })
+function probeFractionOf ({ bounds, sent, exposed, rate }: RolloutSituation): number | undefined {
+  return probeFraction(bounds, { sent, exposed, rate, durationSeconds: PROBE_TIME / SECOND })
 }
 
-function avoid (known: readonly string[], more: readonly string[], except: string): string[] {
+function addAvoided (known: readonly string[], more: readonly string[], except: string): string[] {
   return [...new Set([...known, ...more])].filter((version) => version !== except)
 }
--- a/src/rollout/types.ts
+++ b/src/rollout/types.ts
@@ -1,51 +1,51 @@
-/** Roll-outs: the traffic of a service goes over to upstreams of another version, or comes back from it. */
+/** Types of roll-outs, which move the traffic of a service to upstreams of another version or roll it back. */
 import type { Milliseconds } from '../clock.js'
 import type { VersionEvidence } from './evidence.js'
 
-/** What an operator asks for. */
+/** Order of an operator. */
 export interface RolloutOrder {
   readonly service: string
-  /** Version that is to serve. Its upstreams are started beside the others by the platform. */
+  /** Version that is to serve. The platform starts its upstreams in addition to those of other versions. */
   readonly version: string
-  /** Time within which it is to be decided and done. */
+  /** Time within which the roll-out is to be completed or rolled back. */
   readonly duration: Milliseconds
-  /** The store's revision of the order, which tells it from another one for the same version. */
+  /** Revision of the order in the store, which distinguishes it from other orders for the same version. */
   readonly revision: number
 }
 
 /**
- * How far a roll-out is.
+ * Stage of a roll-out.
  *
- * - `canary`: a small part of the requests tries the new version
- * - `probe`: a larger part does for a moment, as far as the bound on what a bad version may get leaves room
- * - `cutover`: nothing new begins at the other versions, and what runs there ends
+ * - `canary`: a small fraction of the requests tries the new version
+ * - `probe`: a larger fraction does for a short time, within the bounds on requests for a bad version
+ * - `cutover`: no requests are started at other versions, and running ones end
  * - `done`: the other versions are stopped
- * - `rolled-back`: the new version is never used again, unless an operator orders it anew
+ * - `rolled-back`: the new version is not used again, unless an operator orders it anew
  */
 export type RolloutStage = 'canary' | 'probe' | 'cutover' | 'done' | 'rolled-back'
 
-/** What is decided about one service, as it stands in the store. */
+/** Decision about one service, as written to the store. */
 export interface RolloutStatus {
   readonly service: string
   readonly version: string
-  /** Revision of the order that it answers. */
+  /** Revision of the order that the status belongs to. */
   readonly order: number
   readonly stage: RolloutStage
-  /** Part of the requests that a probe sends; undefined before there was one. */
+  /** Fraction of the requests that a probe sends to the tried version; undefined before the first probe. */
   readonly probedPart: number | undefined
-  /** Wall time that the nodes agreed on when the order was first seen. */
+  /** Time of the shared wall clock when the order was first seen. */
   readonly orderedAt: Milliseconds
-  /** Versions that get nothing: rolled back, replaced, or given up for another order. */
+  /** Versions that get no requests: rolled back, replaced, or abandoned for another order. */
   readonly avoided: readonly string[]
 }
 
-/** Bounds on what a version that turns out bad may get. */
+/** Bounds on the requests that a bad version may get. */
 export interface RolloutBounds {
-  /** Part of all requests of its service between the order and the end of its time. */
+  /** Fraction of all requests of its service in the duration of the order. */
   readonly exposedPart: number
-  /** Requests beyond it. */
+  /** Number of requests in addition to that fraction. */
   readonly exposedExtra: number
 }
 
-/** Evidence of one node or of several, by service. */
+/** Evidence of one or more nodes, by service. */
 export type RolloutEvidence = Readonly<Record<string, VersionEvidence>>
