--- a/src/rollout/verdict.ts
+++ b/src/rollout/verdict.ts
@@ -1,39 +1,44 @@
 /**
- * Whether a version is worse than those that serve, from sums of answers.
+ * Sequential test of whether a tried version is worse than the serving versions, from sums of answers.
  *
- * Two kinds of fault are tested for on each route by itself, since a version may be bad on one route alone: a part of
- * the answers fails, or a part of them comes several times as late. Each is compared with what the serving versions did
- * on the same route in the same time, so that a route whose answers fail anyway, or a burst that makes all of them wait,
- * is no fault of the version. A version may turn bad later: the test for a fault starts anew whenever the evidence speaks
- * against one (Page, Continuous inspection schemes, 1954), so that earlier good answers don't outweigh it.
+ * Each route is tested separately, since a version may be bad on one route only. Two kinds of fault are tested for: a
+ * fraction of the answers fails, or a fraction of them takes several times as long. The answers are compared with those of
+ * the serving versions on the same route at the same time. Failures that also occur with the serving versions, and bursts
+ * that delay all answers, are thus not attributed to the tried version. Since a version may turn bad later, the evidence
+ * for a fault restarts at 0 whenever it falls below 0 (CUSUM: Page, Continuous inspection schemes, 1954). Earlier good
+ * answers therefore do not outweigh later bad ones.
  */
-import { answersOf, stepsOf, STEPS_OF_DOUBLING } from './evidence.js'
+import { answerCount, countsByStep, STEPS_PER_DOUBLING } from './evidence.js'
 import type { RouteEvidence, SideEvidence, VersionEvidence } from './evidence.js'
 
-/** What the evidence says. */
+/** Result of the test. */
 export type Verdict =
   | { readonly kind: 'open' }
   | { readonly kind: 'good' }
   | { readonly kind: 'bad', readonly route: string, readonly fault: FaultKind }
 
-/** How a version may be worse. */
+/** Kind of fault. */
 export type FaultKind = 'failing' | 'slow'
 
-/** Compares a tried version with those that serve. */
+/** Test that compares a tried version with the serving versions. */
 export interface VersionTest {
-  /** Takes in sums since the order; what is new since the last time is evidence. */
+  /** Evaluates sums since the order. The answers added since the last call are new evidence. */
   observe (evidence: VersionEvidence): void
-  /** Bad is final. */
+  /** Current verdict. A bad verdict is final. */
   verdict (): Verdict
 }
 
-/** A fault that is tested for: this part of the answers is affected. */
+/** A fault that is tested for. */
 interface Hypothesis {
   readonly fault: FaultKind
+  /** Fraction of the answers that is affected. */
   readonly part: number
 }
 
-/** A mild and a heavy case of each fault; what lies between is found by one of them, later than by its own. */
+/**
+ * A mild and a severe case of each fault. Cases between them are detected as well, but later than with a hypothesis of
+ * their own.
+ */
 const HYPOTHESES: readonly Hypothesis[] = [
   { fault: 'failing', part: 0.3 },
   { fault: 'failing', part: 0.7 },
@@ -41,58 +46,64 @@
   { fault: 'slow', part: 0.8 }
 ]
 
-/** Slower answers take 2.8 to 11 times as long: steps of half a doubling. */
+/** Delays of slow answers in histogram steps: they take 2.8 to 11 times as long. */
 const SLOWER_STEPS = [3, 4, 5, 6, 7]
 
 /**
- * Logarithm of the likelihood ratio from which on a version is bad. Of 120 histories each of good versions none is rolled
- * back with it, also where all answers wait for three seconds (the histories of test/rollout, more seeds).
+ * Log-likelihood ratio at which a version is bad. With it no good version is rolled back in 120 simulated roll-outs of each
+ * kind, including those with a burst of three seconds that delays all answers (simulations of test/rollout with more
+ * seeds).
  */
-const BAD_FROM = 8.5
+const BAD_THRESHOLD = 8.5
 
-/** The same, below zero, at which a mild fault is ruled out on a route: some nine good answers, or fifteen where one in seven fails anyway. */
-const GOOD_FROM = 3
+/**
+ * Negative log-likelihood ratio at which a fault is ruled out on a route. For a mild fault this takes some nine good
+ * answers, or fifteen on a route where one in seven fails with any version.
+ */
+const GOOD_THRESHOLD = 3
 
-/** While a fault is suspected as much as this the version isn't called good. */
-const SUSPICION = 4
+/** Log-likelihood ratio at which a fault is suspected. A version with a suspected fault is not called good. */
+const SUSPICION_THRESHOLD = 4
 
-/** Answers of the serving versions on a route from which on the others are compared with them. */
-const FEWEST_COMPARED = 15
+/** Number of answers of the serving versions on a route that is needed for a comparison. */
+const MIN_COMPARED_ANSWERS = 15
 
-/** A route with less than this part of a service's answers isn't waited for. */
-const RARE_PART = 0.04
+/** A good verdict does not wait for routes with less than this fraction of a service's answers. */
+const RARE_ROUTE_FRACTION = 0.04
 
-/** Count that each failure, success and step has beforehand, so that what hasn't been seen yet isn't impossible. */
+/** Pseudocount of each failure, success and step, so that no outcome has a probability of 0. */
 const PRIOR_COUNT = 0.15
 
-/** Steps over which it is spread: times of one route differ by a factor of some thousand. */
-const SPREAD_STEPS = 10 * STEPS_OF_DOUBLING
+/** Number of steps with a pseudocount. The times of one route differ by a factor of some thousand. */
+const PRIOR_STEPS = 10 * STEPS_PER_DOUBLING
 
-/** Neighbouring steps share what was counted in one: times spread within a step and around it. */
-const NEIGHBOUR_PART = 0.25
+/** Fraction of a step's count that is assigned to each neighbouring step, to smooth the histogram. */
+const NEIGHBOUR_FRACTION = 0.25
 
 /**
- * Answers that stand for the present, as many as came with the tried version's, and this number at least. Failure guarded
- * against: a burst makes all answers wait, and the new version's in it are compared with all that the others gave before.
- * What either is usual for isn't held against the version.
+ * Minimum number of recent answers of the serving versions. Failure guarded against: a burst delays all answers, and the
+ * answers of the tried version in the burst are compared with the answers of the serving versions before it. Therefore the
+ * recent answers are also considered, and a failure or time that is usual in either of the two is weak evidence.
  */
-const FEWEST_PRESENT = 12
+const MIN_RECENT_ANSWERS = 12
 
-/** Most that a single answer counts: a stray late one is no version's fault, two of them in ten are. */
-const MOST_WEIGHT = 2.2
+/** Largest weight of a single answer. One late answer is then no evidence of a fault, while two in ten are. */
+const MAX_ANSWER_WEIGHT = 2.2
 
-const NONE: SideEvidence = { failures: 0, times: {} }
+const NO_ANSWERS: SideEvidence = { failures: 0, times: {} }
 
 interface RouteTest {
-  /** Answers of the serving versions at earlier looks, the oldest first. */
+  /** Sums of the serving versions at earlier evaluations, the oldest first. */
   readonly before: SideEvidence[]
-  /** Answers of the tried version that were taken in. */
+  /** Sums of the tried version that have been evaluated. */
   seen: SideEvidence
-  /** By hypothesis: evidence for it since it was last ruled out. */
+  /** Evidence for each hypothesis since it last fell to 0, as a log-likelihood ratio. */
   readonly suspicion: number[]
 }
 
 /**
+ * Creates a test without evidence.
+ *
  * @example
  * const test = createVersionTest()
  * test.observe(sums)
@@ -106,22 +117,22 @@
   function observeRoute (name: string, evidence: RouteEvidence): void {
     const test = routes.get(name) ?? createRouteTest()
     routes.set(name, test)
-    const present = presentOf(test, evidence.serving)
-    if (answersOf(evidence.serving) < FEWEST_COMPARED) return
-    const fresh = difference(evidence.tried, test.seen)
-    // Sums fall when a node dies; what the others see from then on is compared with the new sums.
+    const recent = recentAnswersOf(test, evidence.serving)
+    if (answerCount(evidence.serving) < MIN_COMPARED_ANSWERS) return
+    const newAnswers = answersSince(evidence.tried, test.seen)
+    // The sums decrease when a node dies. Later answers are then counted from the new sums.
     test.seen = evidence.tried
-    if (answersOf(fresh) === 0) return
+    if (answerCount(newAnswers) === 0) return
     HYPOTHESES.forEach((hypothesis, index) => {
-      const weight = weigh(hypothesis, evidence.serving, present, fresh)
+      const weight = logLikelihoodRatio(hypothesis, evidence.serving, recent, newAnswers)
       test.suspicion[index] = Math.max(0, test.suspicion[index]! + weight)
-      if (test.suspicion[index]! >= BAD_FROM) bad ??= { kind: 'bad', route: name, fault: hypothesis.fault }
+      if (test.suspicion[index]! >= BAD_THRESHOLD) bad ??= { kind: 'bad', route: name, fault: hypothesis.fault }
     })
   }
 
   function isGood ({ routes: seen }: VersionEvidence): boolean {
-    const answers = Object.values(seen).reduce((sum, { serving }) => sum + answersOf(serving), 0)
-    const awaited = Object.entries(seen).filter(([, { serving }]) => answersOf(serving) >= answers * RARE_PART)
+    const answers = Object.values(seen).reduce((sum, { serving }) => sum + answerCount(serving), 0)
+    const awaited = Object.entries(seen).filter(([, { serving }]) => answerCount(serving) >= answers * RARE_ROUTE_FRACTION)
     return awaited.length > 0 && awaited.every(([name, evidence]) => isCleared(evidence, routes.get(name)))
   }
 
@@ -138,64 +149,64 @@
 }
 
 function createRouteTest (): RouteTest {
-  return { before: [NONE], seen: NONE, suspicion: HYPOTHESES.map(() => 0) }
+  return { before: [NO_ANSWERS], seen: NO_ANSWERS, suspicion: HYPOTHESES.map(() => 0) }
 }
 
-/** All that was seen rules each fault out, and nothing speaks for any of late. */
+/** Whether the evidence as a whole rules out each fault on a route and no fault is suspected. */
 function isCleared ({ serving, tried }: RouteEvidence, test: RouteTest | undefined): boolean {
-  if (test === undefined || answersOf(serving) < FEWEST_COMPARED) return false
-  return HYPOTHESES.every((hypothesis) => weigh(hypothesis, serving, serving, tried) <= -GOOD_FROM) && test.suspicion.every((suspicion) => suspicion < SUSPICION)
+  if (test === undefined || answerCount(serving) < MIN_COMPARED_ANSWERS) return false
+  return HYPOTHESES.every((hypothesis) => logLikelihoodRatio(hypothesis, serving, serving, tried) <= -GOOD_THRESHOLD) && test.suspicion.every((suspicion) => suspicion < SUSPICION_THRESHOLD)
 }
 
-/** The latest answers of the serving versions. */
-function presentOf ({ before }: RouteTest, serving: SideEvidence): SideEvidence {
-  const enough = before.findLastIndex((earlier) => answersOf(difference(serving, earlier)) >= FEWEST_PRESENT)
+/** Returns the recent answers of the serving versions: at least {@link MIN_RECENT_ANSWERS}, where there are as many. */
+function recentAnswersOf ({ before }: RouteTest, serving: SideEvidence): SideEvidence {
+  const enough = before.findLastIndex((earlier) => answerCount(answersSince(serving, earlier)) >= MIN_RECENT_ANSWERS)
   if (enough > 0) before.splice(0, enough)
   before.push(serving)
-  return difference(serving, before[0]!)
+  return answersSince(serving, before[0]!)
 }
 
-/** Evidence of new answers for a hypothesis against the tried version being like those that serve. */
-function weigh ({ fault, part }: Hypothesis, serving: SideEvidence, present: SideEvidence, fresh: SideEvidence): number {
+/** Log-likelihood ratio of new answers: the hypothesis against no difference from the serving versions. */
+function logLikelihoodRatio ({ fault, part }: Hypothesis, serving: SideEvidence, recent: SideEvidence, newAnswers: SideEvidence): number {
   switch (fault) {
-    case 'failing': return weighFailures(part, Math.max(failingPart(serving), failingPart(present)), fresh)
-    case 'slow': return weighTimes(part, serving, present, fresh)
+    case 'failing': return failureLogLikelihoodRatio(part, Math.max(failureFraction(serving), failureFraction(recent)), newAnswers)
+    case 'slow': return timeLogLikelihoodRatio(part, serving, recent, newAnswers)
   }
 }
 
-function failingPart (side: SideEvidence): number {
-  return (side.failures + PRIOR_COUNT) / (answersOf(side) + 2 * PRIOR_COUNT)
+function failureFraction (side: SideEvidence): number {
+  return (side.failures + PRIOR_COUNT) / (answerCount(side) + 2 * PRIOR_COUNT)
 }
 
-function weighFailures (part: number, usual: number, fresh: SideEvidence): number {
-  const failed = Math.min(MOST_WEIGHT, Math.log((usual + (1 - usual) * part) / usual))
-  const answered = answersOf(fresh) - fresh.failures
-  return fresh.failures * failed + answered * Math.log(1 - part)
+function failureLogLikelihoodRatio (part: number, baseline: number, newAnswers: SideEvidence): number {
+  const failed = Math.min(MAX_ANSWER_WEIGHT, Math.log((baseline + (1 - baseline) * part) / baseline))
+  const answered = answerCount(newAnswers) - newAnswers.failures
+  return newAnswers.failures * failed + answered * Math.log(1 - part)
 }
 
-function weighTimes (part: number, serving: SideEvidence, present: SideEvidence, fresh: SideEvidence): number {
-  const usual = smoothed(serving)
-  const now = smoothed(present)
-  return stepsOf(fresh).reduce((sum, [step, count]) => {
-    const slower = SLOWER_STEPS.reduce((total, steps) => total + usual(step - steps), 0) / SLOWER_STEPS.length
-    const ratio = (1 - part) + part * slower / Math.max(usual(step), now(step))
-    return sum + count * Math.min(MOST_WEIGHT, Math.log(ratio))
+function timeLogLikelihoodRatio (part: number, serving: SideEvidence, recent: SideEvidence, newAnswers: SideEvidence): number {
+  const likelihood = smoothedLikelihood(serving)
+  const recentLikelihood = smoothedLikelihood(recent)
+  return countsByStep(newAnswers).reduce((sum, [step, count]) => {
+    const slower = SLOWER_STEPS.reduce((total, steps) => total + likelihood(step - steps), 0) / SLOWER_STEPS.length
+    const ratio = (1 - part) + part * slower / Math.max(likelihood(step), recentLikelihood(step))
+    return sum + count * Math.min(MAX_ANSWER_WEIGHT, Math.log(ratio))
   }, 0)
 }
 
-/** Likelihood of each step with the serving versions. */
-function smoothed (serving: SideEvidence): (step: number) => number {
-  const counts = new Map(stepsOf(serving))
+/** Returns the likelihood of each step with the serving versions. */
+function smoothedLikelihood (serving: SideEvidence): (step: number) => number {
+  const counts = new Map(countsByStep(serving))
   const count = (step: number): number => counts.get(step) ?? 0
-  const all = answersOf(serving) - serving.failures
+  const total = answerCount(serving) - serving.failures
   return (step) => {
-    const around = count(step) * (1 - 2 * NEIGHBOUR_PART) + (count(step - 1) + count(step + 1)) * NEIGHBOUR_PART
-    return (around + PRIOR_COUNT) / (all + PRIOR_COUNT * SPREAD_STEPS)
+    const smoothedCount = count(step) * (1 - 2 * NEIGHBOUR_FRACTION) + (count(step - 1) + count(step + 1)) * NEIGHBOUR_FRACTION
+    return (smoothedCount + PRIOR_COUNT) / (total + PRIOR_COUNT * PRIOR_STEPS)
   }
 }
 
-/** What came since; what fell is none. */
-function difference (present: SideEvidence, before: SideEvidence): SideEvidence {
-  const times = Object.entries(present.times).map(([step, count]) => [step, Math.max(0, count - (before.times[step] ?? 0))] as const)
-  return { failures: Math.max(0, present.failures - before.failures), times: Object.fromEntries(times.filter(([, count]) => count > 0)) }
+/** Returns the answers added since earlier sums. Counts that decreased give 0. */
+function answersSince (current: SideEvidence, before: SideEvidence): SideEvidence {
+  const times = Object.entries(current.times).map(([step, count]) => [step, Math.max(0, count - (before.times[step] ?? 0))] as const)
+  return { failures: Math.max(0, current.failures - before.failures), times: Object.fromEntries(times.filter(([, count]) => count > 0)) }
 }
--- a/test/backpressure/departures.test.ts
+++ b/test/backpressure/departures.test.ts
@@ -3,9 +3,9 @@
 import { describe, it } from 'node:test'
 import { createDepartures } from '../../src/backpressure/index.js'
 import { SECOND } from '../../src/clock.js'
-import { lifeOf } from '../../src/placement/index.js'
+import { incarnationOf } from '../../src/placement/index.js'
 
-const INCARNATION = lifeOf('i-1', 1)
+const INCARNATION = incarnationOf('i-1', 1)
 
 describe('departures announced in responses', () => {
   it('are reported as new once, and are never revoked', () => {
@@ -13,7 +13,7 @@
     assert.equal(departures.heard(INCARNATION, 0), true)
     assert.equal(departures.heard(INCARNATION, 10), false)
     assert.equal(departures.isLeaving(INCARNATION), true)
-    assert.equal(departures.isLeaving(lifeOf('i-1', 2)), false, 'the next incarnation is not leaving')
+    assert.equal(departures.isLeaving(incarnationOf('i-1', 2)), false, 'the next incarnation is not leaving')
   })
 
   it('are reported for a limited time by nodes that learnt them from the upstream', () => {
--- a/test/backpressure/rate-limits.test.ts
+++ b/test/backpressure/rate-limits.test.ts
@@ -6,9 +6,9 @@
 import type { RateLimits } from '../../src/backpressure/index.js'
 import { SECOND } from '../../src/clock.js'
 import type { Milliseconds } from '../../src/clock.js'
-import { lifeOf } from '../../src/placement/index.js'
+import { incarnationOf } from '../../src/placement/index.js'
 
-const INCARNATION = lifeOf('i-1', 1)
+const INCARNATION = incarnationOf('i-1', 1)
 
 /** Time after which the total must be within the limit, and the window in which it is counted. */
 const BOUND_AFTER: Milliseconds = 3 * SECOND
--- a/test/gateway/many-nodes.test.ts
+++ b/test/gateway/many-nodes.test.ts
@@ -5,7 +5,7 @@
 import { createSystemClock, SECOND } from '../../src/clock.js'
 import type { Clock } from '../../src/clock.js'
 import type { GatewayNode } from '../../src/gateway/node.js'
-import { EQUALS } from '../../src/gossip/index.js'
+import { MAX_FULL_MESH_NODES } from '../../src/gossip/index.js'
 import { createMachineDeployment } from '../../stand-ins/machines/deployment.js'
 import type { MachineDeployment } from '../../stand-ins/machines/deployment.js'
 import { serveUpstream } from '../../stand-ins/machines/upstream.js'
@@ -13,7 +13,7 @@
 
 const clock = createSystemClock()
 const HOST = 'api.example'
-const NODES = EQUALS + 2
+const NODES = MAX_FULL_MESH_NODES + 2
 const ENDLESS_PAUSE = 5 * SECOND
 
 const configuration = (version: number, ...routes: string[]): object => ({
@@ -61,7 +61,7 @@
   const countNodesInRole = (role: string): number => new Set(deployment.lines.filter((line) => line.event === 'exchange-role' && line.role === role).map((line) => line.process)).size
 
   it('divide into a few aggregators and their members, and all serve', async () => {
-    await waitUntil(() => countNodesInRole('member') >= NODES - EQUALS)
+    await waitUntil(() => countNodesInRole('member') >= NODES - MAX_FULL_MESH_NODES)
     await waitUntil(async () => (await statuses('first')).every((status) => status === 200))
   })
 
--- a/test/gateway/reporting.test.ts
+++ b/test/gateway/reporting.test.ts
@@ -6,12 +6,12 @@
 import type { GossipExchange } from '../../src/gateway/gossip-exchange.js'
 import { pack, unpack } from '../../src/gateway/packing.js'
 import type { PeerLink, PrefillNotice } from '../../src/gateway/peer-link.js'
-import { lifeOf } from '../../src/placement/index.js'
+import { incarnationOf } from '../../src/placement/index.js'
 import { createReachablePeers } from '../../src/gateway/reachable-peers.js'
 import { createStoreUpdateExchange } from '../../src/gateway/store-updates.js'
 import { createMemberReporter } from '../../src/gateway/reporting.js'
 import type { MemberReporter } from '../../src/gateway/reporting.js'
-import { createSharedWall, gossipMessageSchema, memberMessageSchema } from '../../src/gossip/index.js'
+import { createSharedWallClock, gossipMessageSchema, memberMessageSchema } from '../../src/gossip/index.js'
 import type { NodeState } from '../../src/gossip/index.js'
 import { createRandom } from '../../src/random.js'
 import { createManualClock } from '../../stand-ins/manual-clock.js'
@@ -50,7 +50,7 @@
   function startAggregator (name: string, demand: number): void {
     aggregators.set(name, createGossipExchange({
       incarnation: `${name}-1`,
-      wall: createSharedWall(),
+      wall: createSharedWallClock(),
       clock,
       random: createRandom(1),
       log: LOG,
@@ -72,7 +72,7 @@
     return createMemberReporter({
       clock,
       signal,
-      wall: createSharedWall(),
+      wall: createSharedWallClock(),
       storeUpdates: createStoreUpdateExchange(clock),
       reachable: createReachablePeers(clock, LOG, signal),
       link,
@@ -133,7 +133,7 @@
     fleet.startAggregator('b', 1)
     const aggregatorsOf = { m: 'a', n: 'a', o: 'b', p: 'b' }
     for (const [name, aggregator] of Object.entries(aggregatorsOf)) await fleet.startMember(name, 1).report([aggregator])
-    fleet.aggregators.get('a')!.forwardPrefillNotice({ from: 'm-1', upstream: lifeOf('i-1', undefined), reading: 900, passTo: 'all' })
+    fleet.aggregators.get('a')!.forwardPrefillNotice({ from: 'm-1', upstream: incarnationOf('i-1', undefined), reading: 900, passTo: 'all' })
     await fleet.clock.advance(100)
     assert.deepEqual([...fleet.noted].sort(), ['b', 'n', 'o', 'p'])
   })
--- a/test/gateway/upstream-view.test.ts
+++ b/test/gateway/upstream-view.test.ts
@@ -3,11 +3,11 @@
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
 import { createUpstreamView } from '../../src/gateway/upstream-view.js'
-import { lifeOf } from '../../src/placement/index.js'
+import { incarnationOf } from '../../src/placement/index.js'
 import type { UpstreamRecord } from '../../src/placement/index.js'
 import { upstreamRecord } from '../placement/records.js'
 
-const record = (born: number, more: Partial<UpstreamRecord> = {}): UpstreamRecord => upstreamRecord('i', { life: lifeOf('i', born), ...more })
+const record = (born: number, more: Partial<UpstreamRecord> = {}): UpstreamRecord => upstreamRecord('i', { incarnation: incarnationOf('i', born), ...more })
 
 describe('the view of upstreams', () => {
   // Failure guarded against: an engine is drained and starts again under the same id. The node still applies the notice of
@@ -19,7 +19,7 @@
     assert.equal(view.put(record(1), 3), undefined, 'leaving is final for an incarnation')
     assert.equal(view.candidates('s', new Set(), 0).length, 0)
     assert.equal(view.put(record(2), 4), 'new')
-    assert.deepEqual(view.candidates('s', new Set(), 0).map(({ upstream }) => upstream.life), [record(2).life])
+    assert.deepEqual(view.candidates('s', new Set(), 0).map(({ upstream }) => upstream.incarnation), [record(2).incarnation])
   })
 
   // Failure guarded against: the load and the failures of the previous incarnation are attributed to an engine that has
@@ -27,19 +27,19 @@
   it('does not carry load, failures and exclusions over to the next incarnation', () => {
     const view = createUpstreamView()
     view.put(record(1), 1)
-    view.begin(record(1).life, 9_000, 0)
-    view.notePrefill('other', record(1).life, 5_000, 0)
-    view.health.failed(record(1).life, 0)
+    view.begin(record(1).incarnation, 9_000, 0)
+    view.notePrefill('other', record(1).incarnation, 5_000, 0)
+    view.health.failed(record(1).incarnation, 0)
     view.put(record(2), 2)
-    const [candidate] = view.candidates('s', new Set([record(1).life]), 1)
+    const [candidate] = view.candidates('s', new Set([record(1).incarnation]), 1)
     assert.deepEqual(candidate?.load, { requests: 0, reading: 0 })
-    assert.equal(view.health.usable(record(2).life, 1), true)
+    assert.equal(view.health.usable(record(2).incarnation, 1), true)
   })
 
   // Failure guarded against: an engine has announced in an answer that it leaves, but its record still says ready. The
   // record lapses, is read again, and requests go to the engine again.
   it('keeps a notice given in answers when the record lapses and is read again', () => {
-    const leavingIncarnations = new Set([record(1).life])
+    const leavingIncarnations = new Set([record(1).incarnation])
     const view = createUpstreamView({ isLeaving: (life) => leavingIncarnations.has(life), accepts: () => true })
     view.put(record(1), 1)
     assert.equal(view.candidates('s', new Set(), 0).length, 0)
@@ -55,8 +55,8 @@
   it('reports the notice in the registry as a change after a notice in answers', () => {
     const view = createUpstreamView()
     view.put(record(1), 1)
-    assert.equal(view.noteLeaving(record(1).life), true)
-    assert.equal(view.noteLeaving(record(1).life), false)
+    assert.equal(view.noteLeaving(record(1).incarnation), true)
+    assert.equal(view.noteLeaving(record(1).incarnation), false)
     assert.deepEqual(view.all().map(({ leaving }) => leaving), [true])
     assert.equal(view.put(record(1, { leaving: true, leavesIn: 2_000 }), 2), 'leaving')
   })
@@ -69,15 +69,15 @@
     view.put(record(2), 110)
     assert.equal(view.remove('i', 104), undefined)
     assert.equal(view.put(record(1, { leaving: true }), 105), undefined)
-    assert.deepEqual(view.all().map(({ life }) => life), [record(2).life])
+    assert.deepEqual(view.all().map(({ incarnation: life }) => life), [record(2).incarnation])
   })
 
   it('removes only the given incarnation when that one has ended', () => {
     const view = createUpstreamView()
     view.put(record(2), 1)
-    view.forget(record(1).life)
+    view.forget(record(1).incarnation)
     assert.equal(view.all().length, 1)
-    view.forget(record(2).life)
+    view.forget(record(2).incarnation)
     assert.equal(view.all().length, 0)
   })
 
@@ -106,7 +106,7 @@
         truth.set(id, present)
         const { born, leaving, shown } = present
         const event = (): void => {
-          if (shown) view.put(upstreamRecord(id, { life: lifeOf(id, born), leaving }), index + 1)
+          if (shown) view.put(upstreamRecord(id, { incarnation: incarnationOf(id, born), leaving }), index + 1)
           else view.remove(id, index + 1)
         }
         event()
@@ -114,8 +114,8 @@
         // A record may be delivered twice while no newer record of the same id exists.
         if (lateAgain && shown) events.at(-1)?.()
       })
-      const expected = [...truth].filter(([, { shown, leaving }]) => shown && !leaving).map(([id, { born }]) => lifeOf(id, born))
-      const chosen = view.candidates('s', new Set(), 0).map(({ upstream }) => upstream.life)
+      const expected = [...truth].filter(([, { shown, leaving }]) => shown && !leaving).map(([id, { born }]) => incarnationOf(id, born))
+      const chosen = view.candidates('s', new Set(), 0).map(({ upstream }) => upstream.incarnation)
       assert.deepEqual(chosen.sort(), expected.sort())
     }), { seed: 18, numRuns: 600 })
   })
@@ -143,12 +143,12 @@
   it('counts a long prompt of a node that is known only as part of a sum until the sum includes it', () => {
     const view = createUpstreamView()
     view.put(record(1), 1)
-    view.observe(new Map([['others', { [record(1).life]: { requests: 2, reading: 100 } }]]), 0)
-    view.notePrefill('node-9', record(1).life, 1_500, 50)
-    view.observe(new Map([['others', { [record(1).life]: { requests: 2, reading: 100 } }]]), 400)
+    view.observe(new Map([['others', { [record(1).incarnation]: { requests: 2, reading: 100 } }]]), 0)
+    view.notePrefill('node-9', record(1).incarnation, 1_500, 50)
+    view.observe(new Map([['others', { [record(1).incarnation]: { requests: 2, reading: 100 } }]]), 400)
     const loadAt = (now: number) => view.candidates('s', new Set(), now)[0]?.load
     assert.deepEqual(loadAt(450), { requests: 3, reading: 50 + 1_100 })
-    view.observe(new Map([['others', { [record(1).life]: { requests: 3, reading: 400 } }]]), 1_300)
+    view.observe(new Map([['others', { [record(1).incarnation]: { requests: 3, reading: 400 } }]]), 1_300)
     assert.deepEqual(loadAt(1_300), { requests: 3, reading: 400 }, 'the sum includes the prompt now')
   })
 })
--- a/test/gateway/upstream-watcher.test.ts
+++ b/test/gateway/upstream-watcher.test.ts
@@ -8,7 +8,7 @@
 import { watchUpstreams } from '../../src/gateway/upstream-watcher.js'
 import { createUpstreamView } from '../../src/gateway/upstream-view.js'
 import type { UpstreamView } from '../../src/gateway/upstream-view.js'
-import { lifeOf } from '../../src/placement/index.js'
+import { incarnationOf } from '../../src/placement/index.js'
 import { createFreshConnections } from '../../src/protocols/http.js'
 import type { Connections } from '../../src/protocols/http.js'
 import { createRandom } from '../../src/random.js'
@@ -73,7 +73,7 @@
   it('reports a leaving upstream whose notice is first seen in a listing', async () => {
     write('i-1', { ...VALID_RECORD, state: 'draining' })
     write('i-2', VALID_RECORD)
-    view.put(upstreamRecord('i-1', { life: lifeOf('i-1', VALID_RECORD.born), address: VALID_RECORD.address }), 0)
+    view.put(upstreamRecord('i-1', { incarnation: incarnationOf('i-1', VALID_RECORD.born), address: VALID_RECORD.address }), 0)
     followUpstreams()
     await until(() => view.all().length === 2)
     assert.deepEqual([leavingIds, usable()], [['i-1'], ['i-2']])
--- a/test/gossip/merge.test.ts
+++ b/test/gossip/merge.test.ts
@@ -3,7 +3,7 @@
 import fc from 'fast-check'
 import { mergeReports } from '../../src/gossip/index.js'
 import type { FleetReport } from '../../src/gossip/index.js'
-import { lifeOf } from '../../src/placement/index.js'
+import { incarnationOf } from '../../src/placement/index.js'
 import { ANSWERED } from '../../src/quarantine/index.js'
 
 const counts = fc.dictionary(fc.constantFrom('tejo', 'minho', 'douro'), fc.nat(1_000))
@@ -15,24 +15,24 @@
   configuration: fc.nat(50),
   demand: counts,
   granted: counts,
-  inFlight: fc.dictionary(fc.constantFrom('i-1', 'i-2', 'i-3'), fc.record({ requests: fc.nat(9), reading: fc.nat(900) })).map((loads) => Object.fromEntries(Object.entries(loads).map(([id, load]) => [lifeOf(id, 1), load]))),
+  inFlight: fc.dictionary(fc.constantFrom('i-1', 'i-2', 'i-3'), fc.record({ requests: fc.nat(9), reading: fc.nat(900) })).map((loads) => Object.fromEntries(Object.entries(loads).map(([id, load]) => [incarnationOf(id, 1), load]))),
   work: fc.constant({}),
   speeds: fc.constant({}),
   crashes: fc.dictionary(fc.constantFrom('f-1', 'f-2'), fc.constantFrom(ANSWERED, 1, 2)),
   rollouts: fc.dictionary(fc.constantFrom('plans', 'lookups'), fc.record({ order: fc.constantFrom(7, 9), sent: fc.nat(99), exposed: fc.nat(9), followers: fc.nat(1), routes: fc.dictionary(fc.constantFrom('r', 's'), fc.record({ serving: side, tried: side })) })),
-  limits: fc.dictionary(fc.constantFrom('i-1', 'i-2'), fc.record({ rate: fc.constantFrom(1, 2.5), age: fc.nat(3) }, { requiredKeys: ['age'] })).map((limits) => Object.fromEntries(Object.entries(limits).map(([id, limit]) => [lifeOf(id, 1), limit]))),
-  departures: fc.uniqueArray(fc.constantFrom('i-1', 'i-2', 'i-3').map((id) => lifeOf(id, 1)))
+  limits: fc.dictionary(fc.constantFrom('i-1', 'i-2'), fc.record({ rate: fc.constantFrom(1, 2.5), age: fc.nat(3) }, { requiredKeys: ['age'] })).map((limits) => Object.fromEntries(Object.entries(limits).map(([id, limit]) => [incarnationOf(id, 1), limit]))),
+  departures: fc.uniqueArray(fc.constantFrom('i-1', 'i-2', 'i-3').map((id) => incarnationOf(id, 1)))
 })
 
-describe('sums of what nodes tell', () => {
-  it('are the same however the nodes are grouped', () => {
+describe('merged reports', () => {
+  it('are the same for any grouping of the nodes', () => {
     fc.assert(fc.property(fc.array(report, { minLength: 1, maxLength: 12 }), fc.nat(12), (reports, cut) => {
       const parts = [reports.slice(0, cut), reports.slice(cut)].map(mergeReports).filter((part) => part !== undefined)
       assert.deepEqual(mergeReports(parts), mergeReports(reports))
     }))
   })
 
-  it('take a whole answer anywhere for the word on a request that broke off', () => {
+  it('clear a crash fingerprint that any node has answered completely', () => {
     const base = { nodes: 1, configuration: 0, demand: {}, granted: {}, inFlight: {}, work: {}, speeds: {}, rollouts: {}, limits: {}, departures: [] }
     assert.deepEqual(mergeReports([{ ...base, crashes: { f: 2 } }, { ...base, crashes: { f: ANSWERED } }, { ...base, crashes: { f: 1 } }])?.crashes, { f: ANSWERED })
     assert.equal(mergeReports([]), undefined)
--- a/test/platform/platform.test.ts
+++ b/test/platform/platform.test.ts
@@ -159,8 +159,8 @@
     }
     assert.equal(read('ready').leaving, false)
     assert.deepEqual([read('draining').leaving, read('draining').leavesIn, read('draining').reclaimable], [true, 2_000, true])
-    assert.equal(read('ready', { born: 1 }).life, read('draining', { born: 1 }).life)
-    assert.notEqual(read('ready', { born: 1 }).life, read('ready', { born: 2 }).life)
+    assert.equal(read('ready', { born: 1 }).incarnation, read('draining', { born: 1 }).incarnation)
+    assert.notEqual(read('ready', { born: 1 }).incarnation, read('ready', { born: 2 }).incarnation)
   })
 
   // Questions go to an address where nothing listens, or plans are moved away from an engine that runs well:
--- a/test/quota/quota.test.ts
+++ b/test/quota/quota.test.ts
@@ -6,7 +6,7 @@
 import { createRandom } from '../../src/random.js'
 import type { Organisation } from '../../src/routing/index.js'
 
-/** What quotas may be passed by; the tests count with it. */
+/** Margin by which the sum of all nodes may exceed a quota in these tests. */
 const MARGIN = { window: 8 * SECOND, overshoot: 0.1, slack: 140_000 }
 
 const organisation = (rate: number, burst: number): Organisation => ({
@@ -14,7 +14,7 @@
 })
 
 describe('the level of a quota', () => {
-  it('lets no more through than rate, size and one request in any time', () => {
+  it('grants at most the refill, the size and one request in any interval', () => {
     const request = fc.record({ after: fc.nat(400), cost: fc.integer({ min: 1, max: 2_000 }) })
     fc.assert(fc.property(fc.array(request, { maxLength: 60, size: 'max' }), (requests) => {
       const level = createQuotaLevel(1_000, 500, 1, 0)
@@ -24,7 +24,7 @@
       for (const { after, cost } of requests) {
         now += after
         largest = Math.max(largest, cost)
-        if (level.chance({ offered: 0, offeredToOthers: 0, grantedByOthers: 0 }, now) === 1) {
+        if (level.admitProbability({ offered: 0, offeredToOthers: 0, grantedByOthers: 0 }, now) === 1) {
           level.take(cost)
           taken += cost
         }
@@ -33,19 +33,19 @@
     }))
   })
 
-  it('lets a request of any size through once the debt of the one before is paid', () => {
+  it('admits a request of any size once the debt of the previous request is refilled', () => {
     const level = createQuotaLevel(1_000, 500, 1, 0)
     const calm = { offered: 500, offeredToOthers: 300, grantedByOthers: 0 }
     level.take(1_500)
-    assert.equal(level.chance(calm, 0), 0)
+    assert.equal(level.admitProbability(calm, 0), 0)
     const wait = level.wait(calm)
-    assert.equal(level.chance(calm, wait - 2), 0)
-    assert.equal(level.chance(calm, wait + 1), 1)
+    assert.equal(level.admitProbability(calm, wait - 2), 0)
+    assert.equal(level.admitProbability(calm, wait + 1), 1)
   })
 })
 
 describe('shares of a quota', () => {
-  it('add up to one over all nodes, whatever their demands', () => {
+  it('add up to 1 over all nodes for any demands', () => {
     fc.assert(fc.property(fc.array(fc.nat(10_000), { minLength: 1, maxLength: 64 }), (demands) => {
       const sum = demands.reduce((total, own) => total + shareOf(own, { demand: demands.reduce((all, demand) => all + demand, 0) - own, nodes: demands.length - 1 }, demands.length), 0)
       assert.ok(Math.abs(sum - 1) < 1e-9, `${sum}`)
@@ -54,7 +54,7 @@
 })
 
 describe('a token bucket', () => {
-  it('lets no more through than rate, size and one request in any time', () => {
+  it('grants at most the refill, the size and one request in any interval', () => {
     const request = fc.record({ after: fc.nat(400), cost: fc.integer({ min: 1, max: 2_000 }) })
     fc.assert(fc.property(fc.array(request, { maxLength: 60, size: 'max' }), (requests) => {
       const bucket = createTokenBucket(1_000, 500, 0)
@@ -70,7 +70,7 @@
     }))
   })
 
-  it('says when it lets the next request through', () => {
+  it('computes when it admits the next request', () => {
     const bucket = createTokenBucket(1_000, 500, 0)
     assert.ok(bucket.take(1_500, 0))
     assert.equal(bucket.take(1, 0), false)
@@ -81,16 +81,16 @@
 })
 
 describe('a quota over several nodes', () => {
-  // One organisation sends four times its rate to all nodes; each node that let it use the whole rate
-  // would let nine times as much through, at the others' expense.
-  it('is kept by the sum of all nodes that hear each other, in every window', () => {
+  // Guards against a quota per node: an organisation sends four times its rate to all nodes. If each of the nine nodes granted
+  // the whole rate, the sum would be nine times the quota, at the expense of other organisations.
+  it('is kept by the sum of all nodes that exchange reports, in every window', () => {
     const limiters = Array.from({ length: 9 }, () => createQuotaLimiter(createRandom(1), MARGIN))
     const granted: { at: number, cost: number }[] = []
     const tejo = organisation(100_000, 100_000)
     for (let now = 0; now < 20 * SECOND; now += 20) {
       if (now % 400 === 0) {
-        const told = limiters.map((limiter) => ({ nodes: 1, demand: limiter.demand(now), granted: limiter.granted(now) }))
-        limiters.forEach((limiter, index) => limiter.observe(told.filter((_, other) => other !== index), 9))
+        const reports = limiters.map((limiter) => ({ nodes: 1, demand: limiter.demand(now), granted: limiter.granted(now) }))
+        limiters.forEach((limiter, index) => limiter.observe(reports.filter((_, other) => other !== index), 9))
       }
       const limiter = limiters[(now / 20) % 9]!
       if (limiter.take(tejo, 8_000, now).kind === 'granted') granted.push({ at: now, cost: 8_000 })
@@ -103,9 +103,9 @@
     assert.ok(total >= 0.85 * 100_000 * 20, `${total}`)
   })
 
-  // All processes are killed at once under an organisation's fourfold load. Each new one knows no other for
-  // a moment, takes the whole rate for its own, and nine times the rate gets through.
-  it('is kept while nodes that have just started hear of each other one by one', () => {
+  // Guards against excess grants after a restart: all processes are killed at once under four times the usual load. Each new
+  // process knows no other node at first and grants the whole rate, so the sum is nine times the rate.
+  it('is kept while nodes that have just started discover each other one by one', () => {
     const tejo = organisation(100_000, 100_000)
     let taken = 0
     const limiters = Array.from({ length: 9 }, () => createQuotaLimiter(createRandom(1), MARGIN))
@@ -117,7 +117,7 @@
     assert.ok(taken <= 100_000 * 3 + 100_000, `${taken}`)
   })
 
-  it('gives a node that hears nobody an even share', () => {
+  it('gives an equal share to a node without reports of others', () => {
     const limiter = createQuotaLimiter(createRandom(1), MARGIN)
     limiter.observe([], 9)
     const tejo = organisation(90_000, 9_000)
@@ -131,24 +131,24 @@
     for (let now = 0; now < 100; now += 1) assert.equal(limiter.take(organisation(0, 0), 1e6, now).kind, 'granted')
   })
 
-  it('gives back what did not run', () => {
+  it('refunds requests that did not run', () => {
     const limiter = createQuotaLimiter(createRandom(1), { ...MARGIN, slack: 0 })
     limiter.observe([], 1)
     const tejo = organisation(10, 1_000)
     while (limiter.take(tejo, 400, 0).kind === 'granted');
     assert.equal(limiter.take(tejo, 400, 0).kind, 'over')
-    limiter.giveBack(tejo, 400)
-    limiter.giveBack(tejo, 400)
+    limiter.refund(tejo, 400)
+    limiter.refund(tejo, 400)
     assert.equal(limiter.take(tejo, 400, 0).kind, 'granted')
   })
 })
 
 describe('the retry budget', () => {
-  it('keeps the sum of all nodes below ratio and extra in every window', () => {
+  it('keeps the sum of all nodes within ratio and extra in every window', () => {
     const step = fc.record({ node: fc.nat(4), after: fc.nat(300), retries: fc.nat(4) })
     fc.assert(fc.property(fc.array(step, { maxLength: 200, size: 'max' }), (steps) => {
       const budgets = Array.from({ length: 5 }, () => createRetryBudget({ ratio: 0.2, extra: 20, window: 10 * SECOND }))
-      for (const budget of budgets) budget.share(5)
+      for (const budget of budgets) budget.setNodeCount(5)
       const requests: number[] = []
       const retries: number[] = []
       let now = 0
--- a/test/rollout/rollout.test.ts
+++ b/test/rollout/rollout.test.ts
@@ -1,8 +1,8 @@
-/** The single decisions of roll-outs. */
+/** Tests of the individual decisions of roll-outs. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import fc from 'fast-check'
-import { canaryPart, createExposureShare, mergeEvidence, nextStatus, roleOf, stepOf } from '../../src/rollout/index.js'
+import { canaryFraction, createExposureShare, mergeEvidence, nextStatus, roleOf, timeStepOf } from '../../src/rollout/index.js'
 import type { RolloutOrder, RolloutSituation, RolloutStage, RolloutStatus } from '../../src/rollout/index.js'
 import { createRandom } from '../../src/random.js'
 
@@ -14,43 +14,43 @@
 const status = (version: string, answered: number, stage: RolloutStage, avoided: string[] = []): RolloutStatus => ({ service: 's', version, order: answered, stage, probedPart: undefined, orderedAt: 0, avoided })
 
 const situation = (more: Partial<RolloutSituation> = {}): RolloutSituation => ({
-  bounds: BOUNDS, verdict: { kind: 'good' }, elapsed: 15_000, inStage: 5_000, tried: 4, serving: 4, versions: ['v1', 'v2'], nodes: 9, followers: 9, runningBefore: 0, sent: 3_000, exposed: 200, rate: 200, ...more
+  bounds: BOUNDS, verdict: { kind: 'good' }, elapsed: 15_000, timeInStage: 5_000, tried: 4, serving: 4, versions: ['v1', 'v2'], nodes: 9, followers: 9, runningAtOtherVersions: 0, sent: 3_000, exposed: 200, rate: 200, ...more
 })
 
 describe('the role of a version', () => {
-  it('is none for what was rolled back, replaced or given up, whatever is ordered later', () => {
-    fc.assert(fc.property(fc.constantFrom(...STAGES), fc.boolean(), (stage, isAnswered) => {
+  it('is avoided for versions that were rolled back, replaced or abandoned, whatever is ordered later', () => {
+    fc.assert(fc.property(fc.constantFrom(...STAGES), fc.boolean(), (stage, isSameOrder) => {
       const known = status('v2', 7, stage, ['v0'])
-      const later = order('v3', isAnswered ? 7 : 9)
+      const later = order('v3', isSameOrder ? 7 : 9)
       assert.equal(roleOf('v0', later, known), 'avoided')
       assert.equal(roleOf('v2', later, known), stage === 'done' ? 'serving' : 'avoided')
       assert.equal(roleOf('v1', later, known), 'serving')
     }))
   })
 
-  it('is a trial again where an operator orders a version anew', () => {
+  it('is tried again where an operator orders a rolled-back version anew', () => {
     assert.equal(roleOf('v2', order('v2', 7), status('v2', 7, 'rolled-back')), 'avoided')
     assert.equal(roleOf('v2', order('v2', 9), status('v2', 7, 'rolled-back', ['v2'])), 'tried')
   })
 })
 
 describe('a node\'s share of a trial', () => {
-  it('keeps to its part of its own requests, whatever the others do', () => {
+  it('keeps to its fraction of the node\'s own requests', () => {
     fc.assert(fc.property(fc.integer(), fc.integer({ min: 1, max: 200 }), fc.integer({ min: 1, max: 3_000 }), (seed, nodes, requests) => {
       const share = createExposureShare(BOUNDS, nodes, createRandom(seed))
-      const taken = Array.from({ length: requests }, () => share.take(canaryPart(BOUNDS))).filter(Boolean).length
-      assert.ok(taken <= requests * canaryPart(BOUNDS) + 1 + BOUNDS.exposedExtra / nodes)
+      const taken = Array.from({ length: requests }, () => share.take(canaryFraction(BOUNDS))).filter(Boolean).length
+      assert.ok(taken <= requests * canaryFraction(BOUNDS) + 1 + BOUNDS.exposedExtra / nodes)
     }))
   })
 
-  // A bad version gets more than it may: a hundred nodes start at once, and each sends its first request there.
-  it('sums up to the bound over many nodes that each see few requests', () => {
+  // Guards against too many requests for a bad version: a hundred nodes start at once, and each sends its first request there.
+  it('keeps the sum within the bound over many nodes that each get few requests', () => {
     fc.assert(fc.property(fc.integer(), fc.integer({ min: 20, max: 200 }), fc.integer({ min: 0, max: 40 }), (seed, nodes, requests) => {
       const random = createRandom(seed)
       let taken = 0
       for (let node = 0; node < nodes; node += 1) {
         const share = createExposureShare(BOUNDS, nodes, random)
-        for (let count = 0; count < requests; count += 1) if (share.take(canaryPart(BOUNDS))) taken += 1
+        for (let count = 0; count < requests; count += 1) if (share.take(canaryFraction(BOUNDS))) taken += 1
       }
       assert.ok(taken <= nodes * requests * BOUNDS.exposedPart + BOUNDS.exposedExtra, `${taken} of ${nodes * requests}`)
     }))
@@ -58,25 +58,25 @@
 })
 
 describe('the next stage', () => {
-  it('of an order that is not answered is a canary, but for a version that serves already', () => {
+  it('of a new order is the canary, except for a version that already serves', () => {
     assert.equal(nextStatus(order('v2', 7), undefined, undefined, 5)?.stage, 'canary')
     assert.equal(nextStatus(order('v2', 9), status('v2', 7, 'done'), undefined, 5)?.stage, 'done')
     assert.deepEqual(nextStatus(order('v3', 9), status('v2', 7, 'probe', ['v0']), undefined, 5)?.avoided, ['v0', 'v2'])
   })
 
-  it('is never left for another once the roll-out is done or rolled back', () => {
+  it('never changes once the roll-out is done or rolled back', () => {
     for (const stage of ['done', 'rolled-back'] as const) {
       assert.equal(nextStatus(order('v2', 7), status('v2', 7, stage), situation({ verdict: { kind: 'bad', route: 'r', fault: 'slow' } }), 5), undefined)
     }
   })
 
-  it('is the way back from everywhere before, as soon as the version is bad', () => {
+  it('is the rollback from every earlier stage as soon as the version is bad', () => {
     for (const stage of ['canary', 'probe', 'cutover'] as const) {
       assert.equal(nextStatus(order('v2', 7), status('v2', 7, stage), situation({ verdict: { kind: 'bad', route: 'r', fault: 'slow' } }), 5)?.stage, 'rolled-back')
     }
   })
 
-  it('is no cutover without evidence, upstreams or need', () => {
+  it('is not the cutover without a good verdict, enough upstreams and a trial of sufficient length', () => {
     const canary = status('v2', 7, 'canary')
     for (const more of [{ verdict: { kind: 'open' } }, { tried: 1, serving: 4 }, { elapsed: 3_000 }] as const) {
       assert.equal(nextStatus(order('v2', 7), canary, situation(more), 5), undefined)
@@ -85,24 +85,26 @@
     assert.equal(nextStatus(order('v2', 7), canary, situation({ exposed: 340 }), 5)?.stage, 'cutover')
   })
 
-  // A user sees requests cut off at the end of a release: one node has not heard of the cutover, or something still runs.
-  it('is not done while a node doesn\'t follow or something runs at the versions before', () => {
+  // Guards against requests that are cut off at the end of a roll-out, because a node has not received the cutover or requests
+  // still run at other versions.
+  it('is not done while a node does not follow the cutover or requests run at other versions', () => {
     const cutover = status('v2', 7, 'cutover')
     assert.equal(nextStatus(order('v2', 7), cutover, situation({ followers: 8 }), 5), undefined)
-    assert.equal(nextStatus(order('v2', 7), cutover, situation({ runningBefore: 1, inStage: 60_000 }), 5), undefined)
+    assert.equal(nextStatus(order('v2', 7), cutover, situation({ runningAtOtherVersions: 1, timeInStage: 60_000 }), 5), undefined)
     assert.deepEqual(nextStatus(order('v2', 7), cutover, situation(), 5)?.avoided, ['v1'])
-    assert.equal(nextStatus(order('v2', 7), cutover, situation({ followers: 8, inStage: 9_000 }), 5)?.stage, 'done')
+    assert.equal(nextStatus(order('v2', 7), cutover, situation({ followers: 8, timeInStage: 9_000 }), 5)?.stage, 'done')
   })
 })
 
 describe('evidence', () => {
-  it('of an order before is none', () => {
+  it('of an earlier order does not count', () => {
     const evidence = (revision: number, sent: number) => ({ s: { order: revision, sent, exposed: 0, followers: 0, routes: {} } })
     assert.equal(mergeEvidence([evidence(7, 5), evidence(9, 2), evidence(7, 5), evidence(9, 1)])['s']?.sent, 3)
   })
 
-  // Failures of a new version go on unnoticed: what was last looked at goes on being counted in, and nothing is ever new.
-  it('that was summed stays as it was', () => {
+  // Guards against unnoticed failures: if a sum shares objects with a node's own counts, later answers also change the sum that
+  // was evaluated last, and no answer is ever new.
+  it('in a sum does not change with later counts', () => {
     const own = { order: 7, sent: 1, exposed: 1, followers: 0, routes: { r: { serving: { failures: 0, times: {} }, tried: { failures: 1, times: {} as Record<string, number> } } } }
     const summed = mergeEvidence([{ s: own }])['s']
     own.routes.r.tried.failures += 1
@@ -110,7 +112,7 @@
     assert.deepEqual(summed?.routes['r']?.tried, { failures: 1, times: {} })
   })
 
-  it('tells times by doublings', () => {
-    assert.deepEqual([stepOf(60, 60), stepOf(120, 60), stepOf(30, 60), stepOf(0, 0)], [0, 2, -2, 0])
+  it('groups times in steps of half a doubling', () => {
+    assert.deepEqual([timeStepOf(60, 60), timeStepOf(120, 60), timeStepOf(30, 60), timeStepOf(0, 0)], [0, 2, -2, 0])
   })
 })
