--- a/bench/capacity/planner-lease.ts
+++ b/bench/capacity/planner-lease.ts
@@ -2,7 +2,7 @@
 import { setMaxListeners } from 'node:events'
 import { MINUTE, SECOND } from '../../src/clock.js'
 import { incarnationSchema } from '../../src/identifiers.js'
-import { createLeaseKeeper } from '../../src/protocols/lease-keeper.js'
+import { createLeaseManager } from '../../src/protocols/lease-manager.js'
 import { createRandom } from '../../src/random.js'
 import { createFaultSwitch } from '../../stand-ins/faults.js'
 import { createDirectKeyValue } from '../../stand-ins/key-value-direct.js'
@@ -41,7 +41,7 @@
   setMaxListeners(0, owner.signal)
   const keyValue = createDirectKeyValue(createKeyValueStore(clock), createFaultSwitch(clock, createRandom(seed)), clock)
   for (let index = 0; index < nodes; index += 1) {
-    createLeaseKeeper({
+    createLeaseManager({
       keyValue,
       clock,
       random: createRandom(seed * 1_000 + index),
--- a/features/steps/agreement.steps.ts
+++ b/features/steps/agreement.steps.ts
@@ -12,8 +12,8 @@
 import type { ChangeOutcome } from '../../src/entry/configuration-change.js'
 import type { DeliveryReport } from '../../src/entry/membership-keeper.js'
 import { incarnationSchema, organisationNameSchema } from '../../src/identifiers.js'
-import { createLeaseKeeper } from '../../src/protocols/lease-keeper.js'
-import type { LeaseKeeper } from '../../src/protocols/lease-keeper.js'
+import { createLeaseManager } from '../../src/protocols/lease-manager.js'
+import type { LeaseManager } from '../../src/protocols/lease-manager.js'
 import { createRandom } from '../../src/random.js'
 import type { ManualClock } from '../../stand-ins/manual-clock.js'
 import type { DeploymentWorld } from './world.js'
@@ -25,7 +25,7 @@
   first: ConfigurationRevision
   outcomes: ChangeOutcome[]
   report: DeliveryReport
-  leases: [LeaseKeeper, LeaseKeeper]
+  leases: [LeaseManager, LeaseManager]
   fencing: number
   pause: (duration: number) => void
 }
@@ -194,7 +194,7 @@
     }
   }
   this.pause = (duration) => { pausedUntil = clock.now() + duration }
-  const planner = (name: string, ownClock: Clock) => createLeaseKeeper({
+  const planner = (name: string, ownClock: Clock) => createLeaseManager({
     keyValue: this.fleet.keyValue,
     clock: ownClock,
     random: createRandom(name.length),
--- a/src/bin/hornbeamgap-gateway.ts
+++ b/src/bin/hornbeamgap-gateway.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /** `hornbeamgap-gateway`: a gateway node on the users' machines. */
-import { createPlatform, machineSettingsSchema, SETTINGS_VARIABLE } from '../../platform/index.js'
+import { createPlatform, gatewaySettingsSchema, SETTINGS_VARIABLE } from '../../platform/index.js'
 import { createBoundedLines } from '../bounded-lines.js'
 import { createSystemClock } from '../clock.js'
 import { startGatewayNode } from '../gateway/node.js'
@@ -22,14 +22,14 @@
 runServer({
   name: 'hornbeamgap-gateway',
   description: 'Run a gateway node',
-  schema: machineSettingsSchema,
+  schema: gatewaySettingsSchema,
   defaultSettings: process.env[SETTINGS_VARIABLE],
   start: async (initial, _options, path) => {
     const clock = createSystemClock()
     const ending = new AbortController()
     const lines = createBoundedLines(process.stdout, clock, (leftOut) => JSON.stringify({ time: new Date(clock.wall()).toISOString(), level: 'warn', process: initial.name, event: 'lines-left-out', ...leftOut }))
     const log = createLog(initial.name, 'info', clock.wall, lines)
-    const settings = watchSettings({ initial, read: () => loadSettings(machineSettingsSchema, path), clock, log, signal: ending.signal })
+    const settings = watchSettings({ initial, read: () => loadSettings(gatewaySettingsSchema, path), clock, log, signal: ending.signal })
     process.on('SIGHUP', () => settings.reload('signal'))
     const connections = createFreshConnections(PLATFORM_CONNECTIONS)
     const platform = createPlatform(settings.current, connections)
--- a/src/caller/parsing.ts
+++ b/src/caller/parsing.ts
@@ -6,7 +6,7 @@
 import { bearerKey, equalHashes, sha256 } from '../credentials.js'
 import { classNameSchema, requestIdFor, requestIdSchema } from '../identifiers.js'
 import type { Incarnation, OrganisationName, RequestId } from '../identifiers.js'
-import { endToEnd } from '../protocols/plain-service.js'
+import { endToEndHeaders } from '../protocols/plain-service.js'
 import { chatBodySchema, plainCallSchema } from '../request/index.js'
 import type { ChatBody, PlainCall, Request, Work } from '../request/index.js'
 import { describeIssue } from '../settings.js'
@@ -138,7 +138,7 @@
     const name = message.rawHeaders[index] as string
     if (!OWN_HEADERS.has(name.toLowerCase())) pairs.push([name, message.rawHeaders[index + 1] as string])
   }
-  return endToEnd(pairs)
+  return endToEndHeaders(pairs)
 }
 
 function parseJson (bytes: Buffer): unknown {
--- a/src/client/address-cache.ts
+++ b/src/client/address-cache.ts
@@ -55,7 +55,7 @@
     let failure: unknown
     for (const address of shuffled([...new Set([...known, ...options.addresses])])) {
       try {
-        const answer = await exchangeJson(connections, { address, method: 'GET', path: '/v1/addresses', headers, silence: SILENCE }, addressAnswerSchema)
+        const answer = await exchangeJson(connections, { address, method: 'GET', path: '/v1/addresses', headers, idleTimeout: SILENCE }, addressAnswerSchema)
         kept = { answer, until: clock.now() + answer.lifetime_ms }
         return answer
       } catch (error) {
--- a/src/client/chat.ts
+++ b/src/client/chat.ts
@@ -85,7 +85,7 @@
   return {
     address: send.node.address,
     headers: { ...sending.headers, traceparent: send.traceparent, [REQUEST_ID_HEADER]: send.id },
-    silence: SILENCE,
+    idleTimeout: SILENCE,
     ...(send.signal === undefined ? {} : { signal: send.signal })
   }
 }
--- a/src/client/plain.ts
+++ b/src/client/plain.ts
@@ -52,7 +52,7 @@
     path: `/v1/services/${call.class}${call.path}`,
     headers: { ...call.headers, ...sending.headers, traceparent: send.traceparent, [REQUEST_ID_HEADER]: send.id },
     ...(call.body === undefined ? {} : { body: Buffer.from(call.body) }),
-    silence: SILENCE,
+    idleTimeout: SILENCE,
     ...(send.signal === undefined ? {} : { signal: send.signal })
   })
   const body = await readBytes(response.body, address)
--- a/src/gateway/duty-holder.ts
+++ b/src/gateway/duty-holder.ts
@@ -9,7 +9,7 @@
  */
 import type { Milliseconds } from '../clock.js'
 import type { Incarnation } from '../identifiers.js'
-import { createLeaseKeeper } from '../protocols/lease-keeper.js'
+import { createLeaseManager } from '../protocols/lease-manager.js'
 import { epochOf } from '../revision.js'
 import type { StoreContext } from './follow.js'
 import type { DutyProof } from './ports.js'
@@ -71,7 +71,7 @@
   let callsAllowedFrom: Milliseconds = 0
   let highestSuperseded = 0
   let restoredAt: Milliseconds = -Infinity
-  const lease = createLeaseKeeper({
+  const lease = createLeaseManager({
     keyValue: store,
     clock,
     random,
@@ -79,7 +79,7 @@
     signal,
     holder: incarnation as Incarnation,
     isCandidate: () => options.isCandidate() && acquireDelay() === 0,
-    terms: { name: 'duty', key: DUTY_KEY, time: leaseTime, renewal: leaseTime / 3, waiting: KEY_CHECK_PERIOD }
+    terms: { name: 'duty', key: DUTY_KEY, time: leaseTime, renewalInterval: leaseTime / 3, waiting: KEY_CHECK_PERIOD }
   })
 
   /**
--- a/src/gateway/follow.ts
+++ b/src/gateway/follow.ts
@@ -1,6 +1,6 @@
 /** Keeps a node up to date with a key prefix of the store, by reading the store or by updates from other nodes. */
 import { followKeys } from '../protocols/key-watch.js'
-import type { WatchPauses } from '../protocols/key-watch.js'
+import type { WatchIntervals } from '../protocols/key-watch.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import type { EventLog } from '../events/index.js'
 import type { KeyValue, KeyValueEntry } from '../protocols/key-value.js'
@@ -36,7 +36,7 @@
 }
 
 /** Pauses for prefixes whose changes must be in force within two seconds, also after an outage of the store. */
-const PROMPT_PAUSES: WatchPauses = { start: 0, first: 100, longest: 800, batch: 0, idle: 200 }
+const PROMPT_PAUSES: WatchIntervals = { startDelay: 0, initialRetryDelay: 100, maxRetryDelay: 800, batchInterval: 0, roleCheckInterval: 200 }
 
 /** Maximum silence of a watch that other nodes depend on, as a fraction of the time within which a change must be known. */
 const SHARED_WATCH_SILENCE_FRACTION = 0.35
@@ -50,7 +50,7 @@
  * if only the aggregator is cut off, the node's first read succeeds; if the store is down for all, the aggregators
  * reconnect first and pass the updates on.
  */
-const RECEIVER_PAUSES = { first: 400, longest: 3_200 }
+const RECEIVER_PAUSES = { initialRetryDelay: 400, maxRetryDelay: 3_200 }
 
 /**
  * Maximum age of received updates before a node reads the store itself, as a fraction of the time within which a change must
@@ -62,7 +62,7 @@
 /** How often a prefix is read, and how old received updates may be. */
 export interface SubscriptionSettings {
   /** Pauses of the watch, by this node's role in the exchange of updates. */
-  readonly pauses: (role: StoreReadRole) => WatchPauses
+  readonly pauses: (role: StoreReadRole) => WatchIntervals
   /** Maximum age of received updates before this node reads the store itself. */
   readonly maxAge: Milliseconds
 }
@@ -76,9 +76,9 @@
  * boundedDelaySettings(4 * SECOND, 0)
  */
 export function boundedDelaySettings (maxDelay: Milliseconds, batch: Milliseconds): SubscriptionSettings {
-  const alone: WatchPauses = { ...PROMPT_PAUSES, batch }
-  const telling: WatchPauses = { ...PROMPT_PAUSES, silence: maxDelay * SHARED_WATCH_SILENCE_FRACTION, batch: maxDelay * SHARED_WATCH_BATCH_FRACTION }
-  const told: WatchPauses = { ...alone, ...RECEIVER_PAUSES }
+  const alone: WatchIntervals = { ...PROMPT_PAUSES, batchInterval: batch }
+  const telling: WatchIntervals = { ...PROMPT_PAUSES, idleTimeout: maxDelay * SHARED_WATCH_SILENCE_FRACTION, batchInterval: maxDelay * SHARED_WATCH_BATCH_FRACTION }
+  const told: WatchIntervals = { ...alone, ...RECEIVER_PAUSES }
   return { pauses: (role) => ({ telling, told, alone })[role], maxAge: maxDelay * MAX_AGE_FRACTION }
 }
 
@@ -96,7 +96,7 @@
  * and a watch that receives nothing more therefore delays nothing. Every reopening of a watch is a call that is charged for.
  */
 export const NODE_RECORD_SETTINGS: SubscriptionSettings = {
-  pauses: (role) => ({ ...PROMPT_PAUSES, silence: RECORD_WATCH_SILENCE, batch: role === 'telling' ? RECORD_WATCH_BATCH : 0 }),
+  pauses: (role) => ({ ...PROMPT_PAUSES, idleTimeout: RECORD_WATCH_SILENCE, batchInterval: role === 'telling' ? RECORD_WATCH_BATCH : 0 }),
   maxAge: MAX_RECORD_AGE
 }
 
--- a/src/gateway/rollout-records.ts
+++ b/src/gateway/rollout-records.ts
@@ -1,6 +1,6 @@
 /** Follows the operator's roll-out orders and the roll-out statuses that the system writes in answer to them. */
 import type { Milliseconds } from '../clock.js'
-import { ONLY_EPOCH } from '../protocols/epochs.js'
+import { DEFAULT_EPOCH } from '../protocols/epochs.js'
 import { ABSENT } from '../protocols/key-value.js'
 import { epochOf } from '../revision.js'
 import { isAnswerTo, isSuperseded, withKnownRevision } from '../rollout/index.js'
@@ -92,7 +92,7 @@
   /** Marks statuses that a restore of the store has removed. Within one epoch statuses are never removed. */
   function markLost (present: ReadonlySet<string>): void {
     for (const [service, known] of statuses) {
-      const isPast = epochOf(known.revision) < (store.epochs.current() ?? ONLY_EPOCH)
+      const isPast = epochOf(known.revision) < (store.epochs.current() ?? DEFAULT_EPOCH)
       if (isPast && !present.has(registry.statusKey(service))) statuses.set(service, { ...known, revision: ABSENT, isLost: true })
     }
   }
--- a/src/gateway/usage-reporter.ts
+++ b/src/gateway/usage-reporter.ts
@@ -6,7 +6,7 @@
 import { SECOND } from '../clock.js'
 import type { Milliseconds } from '../clock.js'
 import { readJson } from '../json.js'
-import { ONLY_EPOCH } from '../protocols/epochs.js'
+import { DEFAULT_EPOCH } from '../protocols/epochs.js'
 import { ABSENT } from '../protocols/key-value.js'
 import type { KeyValueEntry, LeaseId } from '../protocols/key-value.js'
 import { epochOf } from '../revision.js'
@@ -133,7 +133,7 @@
     if (isDone(lastComplete)) return
     const entry = await store.get(JOURNAL_KEY, signal)
     const journal = entry && readJson(usageJournalSchema, entry.value)
-    const epoch = entry === undefined ? store.epochs.current() ?? ONLY_EPOCH : epochOf(entry.revision)
+    const epoch = entry === undefined ? store.epochs.current() ?? DEFAULT_EPOCH : epochOf(entry.revision)
     const step = nextUsageStep(journal, epoch, lastComplete)
     switch (step.kind) {
       case 'wait':
--- a/src/operator/command/connection.ts
+++ b/src/operator/command/connection.ts
@@ -78,7 +78,7 @@
 
   async function ask<T> (address: Address, method: 'GET' | 'POST', path: string, body: object | undefined, schema: z.ZodType<T>): Promise<T> {
     const headers = { authorization: `Bearer ${settings.operator_key}` }
-    const response = await send(connections, { address, method, path, headers, silence: SILENCE, ...(body === undefined ? {} : { body }) })
+    const response = await send(connections, { address, method, path, headers, idleTimeout: SILENCE, ...(body === undefined ? {} : { body }) })
     const text = await readBody(response, address)
     if (response.statusCode >= 400) throw failureOf(address, response.statusCode, text)
     const parsed = schema.safeParse(parseJson(text))
--- a/src/peer/suspicion-client.ts
+++ b/src/peer/suspicion-client.ts
@@ -55,7 +55,7 @@
   const queues = new Map<Address, Queue>()
 
   function exchange (connections: Connections, address: Address, messages: readonly SuspicionMessage[]): Promise<{ answers: SuspicionAnswer[] }> {
-    return exchangeJson(connections, { address, method: 'POST', path: SUSPICION_PATH, headers, body: { messages }, silence: ANSWER_TIMEOUT, signal }, suspicionAnswersSchema)
+    return exchangeJson(connections, { address, method: 'POST', path: SUSPICION_PATH, headers, body: { messages }, idleTimeout: ANSWER_TIMEOUT, signal }, suspicionAnswersSchema)
   }
 
   /**
--- a/src/planner/planner.ts
+++ b/src/planner/planner.ts
@@ -24,7 +24,7 @@
 import { createLedger } from '../report/index.js'
 import type { PlannerContext } from './context.js'
 import { createPlannerCycle, FOLLOW_UP_PERIOD } from './cycle.js'
-import { createLeaseKeeper } from '../protocols/lease-keeper.js'
+import { createLeaseManager } from '../protocols/lease-manager.js'
 import { createFoldMemory, foldGone } from './report-folder.js'
 import type { PlannerSettings } from './settings.js'
 
@@ -62,7 +62,7 @@
   const incarnation = incarnationSchema.parse(`planner-${settings.instance}-${randomBytes(6).toString('hex')}`)
   const connections = createConnections(CONNECTIONS_PER_ADDRESS)
   const keyValue = createKeyValue(connections, settings.platform.key_value)
-  const leadership = createLeaseKeeper({ keyValue, clock, random, log, signal, holder: incarnation })
+  const leadership = createLeaseManager({ keyValue, clock, random, log, signal, holder: incarnation })
   const ledger = createLedger({ wall: clock.wall })
   const reports = createReportKeeper({ incarnation, instance: settings.instance, ledger, keyValue, clock, random, log, signal })
   const storeAddress = settings.platform.weight_store
--- a/src/protocols/cloud.ts
+++ b/src/protocols/cloud.ts
@@ -1,4 +1,4 @@
-/** The cloud: what it sells, starting and giving back instances, and notices of reclaims. */
+/** Client of the cloud's API: offers, start and release of instances, and reclaim notices. */
 import * as z from 'zod'
 import { cloudInstanceSchema, offerSchema, reclaimNoticeSchema, startAnswerSchema } from '../capacity/index.js'
 import type { CloudInstance, Offer, ReclaimNotice, StartAnswer, StartOrder } from '../capacity/index.js'
@@ -8,29 +8,31 @@
 import { exchangeJson } from './http.js'
 import type { Connections, HttpExchange } from './http.js'
 
-/** Notices after a sequence number. */
+/** Reclaim notices after a sequence number. */
 export interface NoticePage {
   readonly notices: readonly ReclaimNotice[]
-  /** Sequence to ask after next time. */
+  /** Sequence number to pass to the next call of {@link Cloud.notices}. */
   readonly next: number
 }
 
 /**
- * The cloud as the system uses it. Every method rejects with a ServingError. A `start` or `release`
- * that rejects with `may-have-run` may be sent again under the same name, or settled by `list`.
+ * The cloud's API. Every method rejects with a ServingError. If `start` or `release` rejects with the verdict
+ * `may-have-run`, repeat the call with the same name, or find out the outcome with `list`.
  */
 export interface Cloud {
+  /** Offers of instances that can be started. */
   offers (signal?: AbortSignal): Promise<readonly Offer[]>
-  /** Idempotent by name. */
+  /** Starts an instance. A repeated order with the same name starts no second instance. */
   start (order: StartOrder, signal?: AbortSignal): Promise<StartAnswer>
-  /** Idempotent; a released name is never started again, also if its start order arrives later. */
+  /** Ends an instance. Idempotent. A released name is never started, even if its start order arrives after the release. */
   release (name: InstanceName, signal?: AbortSignal): Promise<void>
-  /** Instances of a group that have not ended. */
+  /** Lists the instances of a group that have not ended. */
   list (group: string, signal?: AbortSignal): Promise<readonly CloudInstance[]>
-  /** Notices whose sequence is above `after`, oldest first; 0 asks for all that are remembered. */
+  /** Reclaim notices with a sequence number greater than `after`, oldest first. 0 returns all notices that the cloud still keeps. */
   notices (after: number, signal?: AbortSignal): Promise<NoticePage>
 }
 
+/** Timeout of one call. */
 const CALL_TIMEOUT: Milliseconds = 2 * SECOND
 
 const offersSchema = z.object({ offers: z.array(offerSchema) })
@@ -38,13 +40,15 @@
 const noticesSchema = z.object({ notices: z.array(reclaimNoticeSchema), next: z.number().int().nonnegative() })
 
 /**
- * @param address where the cloud's API answers
+ * Creates a client of the cloud's API.
+ *
+ * @param address of the API
  * @example
  * const { notices, next } = await createCloud(connections, settings.platform.cloud).notices(0)
  */
 export function createCloud (connections: Connections, address: Address): Cloud {
   const exchange = (method: HttpExchange['method'], path: string, body?: unknown, signal?: AbortSignal): HttpExchange =>
-    ({ address, method, path, body, silence: CALL_TIMEOUT, ...(signal ? { signal } : {}) })
+    ({ address, method, path, body, idleTimeout: CALL_TIMEOUT, ...(signal ? { signal } : {}) })
 
   return {
     offers: async (signal) => (await exchangeJson(connections, exchange('GET', '/offers', undefined, signal), offersSchema)).offers,
--- a/src/protocols/engine.ts
+++ b/src/protocols/engine.ts
@@ -1,6 +1,6 @@
 /**
- * A model engine: chat completions with server-sent events as language-model servers publish them,
- * and beside them load, resumption, cancellation, cache movement and orders.
+ * Client of a model engine: chat completions as server-sent events in the form that is usual for language-model servers,
+ * and further calls for the load, resumption, cancellation, cache transfer and orders.
  */
 import * as z from 'zod'
 import type { Milliseconds } from '../clock.js'
@@ -14,46 +14,48 @@
 import type { Connections, HttpExchange, HttpResponse } from './http.js'
 import { readEvents } from './server-sent-events.js'
 
-/** What an engine sends while it answers. */
+/** An event of an engine's answer. */
 export type EngineEvent =
   | { kind: 'token', offset: number, text: string }
   | { kind: 'finished', finish: FinishReason, usage: Usage }
 
-/** A started answer. */
+/** A stream of an answer that an engine has started. */
 export interface EngineStream {
-  /** The engine's name for the stream; it survives the connection. */
+  /** Name that the engine gave the stream. It stays valid after the connection is lost. Empty if the engine gave none. */
   readonly handle: string
-  /** Throws a ServingError when the stream ends without its final mark. */
+  /** Events of the answer. Throws a ServingError if the stream ends without the `[DONE]` event. */
   readonly events: AsyncIterable<EngineEvent>
 }
 
-/** Continuation of an answer that another engine began. */
+/** Start of an answer that another engine generated, for an engine that continues it. */
 export interface Continuation {
+  /** Offset of the first token that the engine generates. */
   readonly offset: number
+  /** Text that precedes the offset. */
   readonly text: string
 }
 
-/** How an answer is asked for. */
+/** Parameters of a call that starts an answer. */
 export interface EngineCall {
   readonly body: ChatBody
   readonly model: string
-  /** Smaller runs earlier; derived from the remaining slack to the class's target. */
+  /** A request with a lower value runs earlier. Derived from the remaining slack to the target of the request's class. */
   readonly priority: number
   readonly continuation?: Continuation
   readonly traceparent?: string
   readonly signal: AbortSignal
 }
 
-/** A change of an engine's cache, as its feed reports it: late and with gaps. */
+/** Schema of a change of an engine's prefix cache. The feed reports changes late and with gaps. */
 export const cacheEventSchema = z.object({
   sequence: z.number().int(),
   kind: z.enum(['stored', 'evicted']),
-  /** Hashes of the prompt's blocks, longest last. */
+  /** Hashes of a prompt's prefixes that end at block boundaries, longest prefix last. */
   blocks: z.array(z.string())
 })
 export type CacheEvent = z.infer<typeof cacheEventSchema>
 
-/** Desired state of an engine with the number that fences off older orders. */
+/** Schema of an order for the desired state of an engine. An engine rejects an order with a lower fencing number than one that it has seen. */
 export const engineOrderSchema = z.object({
   fencing: z.number().int().nonnegative(),
   generation: z.number().int().nonnegative(),
@@ -64,27 +66,30 @@
 })
 export type EngineOrder = z.infer<typeof engineOrderSchema>
 
-/** One engine as the system uses it. */
+/** One model engine. Every method rejects with a ServingError. */
 export interface Engine {
+  /** Starts an answer. */
   start (call: EngineCall): Promise<EngineStream>
-  /** Attaches again to a stream from an offset. */
+  /** Reconnects to a stream and continues from an offset. */
   resume (handle: string, offset: number, signal: AbortSignal): Promise<EngineStream>
   cancel (handle: string, signal?: AbortSignal): Promise<void>
   load (signal?: AbortSignal): Promise<LoadReport>
+  /** Changes of the prefix cache with a sequence number greater than `after`. Pass `next` as `after` in the next call. */
   cacheEvents (after: number, signal?: AbortSignal): Promise<{ events: CacheEvent[], next: number }>
-  /** Sends a stream's cache to another engine; resolves to the tokens moved and the handle there. */
+  /** Sends a stream's cache to another engine. Resolves to the number of tokens moved and the stream's handle at that engine. */
   exportCache (handle: string, target: Address, signal: AbortSignal): Promise<{ tokens: number, handle: string }>
-  /** Orders a desired state; resolves to false when fenced off by a newer order. */
+  /** Orders a desired state. Resolves to false if the engine has already accepted an order with a higher fencing number. */
   order (order: EngineOrder, signal?: AbortSignal): Promise<boolean>
 }
 
-/** Longest silence of a stream before a new connection is tried. */
-export const STREAM_SILENCE: Milliseconds = 5 * SECOND
+/** Time without data after which a stream's connection is considered lost and a new one is opened. */
+export const STREAM_IDLE_TIMEOUT: Milliseconds = 5 * SECOND
 
-/** Bound on short calls. */
+/** Timeout of calls other than streams. */
 const CALL_TIMEOUT: Milliseconds = 2 * SECOND
 
-const DONE = '[DONE]'
+/** Data of the event that ends every complete stream. */
+const DONE_EVENT = '[DONE]'
 
 const chunkSchema = z.object({
   id: z.string(),
@@ -101,29 +106,31 @@
 const cacheFeedSchema = z.object({ events: z.array(cacheEventSchema), next: z.number().int() })
 
 /**
- * @param address where the engine answers
+ * Creates a client of one engine.
+ *
+ * @param address of the engine
  * @example
  * const stream = await createEngine(connections, address).start(call)
  */
 export function createEngine (connections: Connections, address: Address): Engine {
   const exchange = (method: 'GET' | 'POST', path: string, body: unknown, silence: Milliseconds, signal?: AbortSignal): HttpExchange =>
-    ({ address, method, path, body, silence, ...(signal ? { signal } : {}) })
+    ({ address, method, path, body, idleTimeout: silence, ...(signal ? { signal } : {}) })
 
-  async function open (request: HttpExchange): Promise<EngineStream> {
+  async function openStream (request: HttpExchange): Promise<EngineStream> {
     const response = await send(connections, request)
-    if (response.statusCode !== 200) throw await refusal(response, address)
+    if (response.statusCode !== 200) throw await refusalError(response, address)
     const handle = response.headers['x-stream-handle']
     const name = typeof handle === 'string' ? handle : ''
-    return { handle: name, events: eventsOf(response, address, name) }
+    return { handle: name, events: readStreamEvents(response, address, name) }
   }
 
   return {
-    start: (call) => open({
-      ...exchange('POST', '/v1/chat/completions', startBody(call), STREAM_SILENCE, call.signal),
+    start: (call) => openStream({
+      ...exchange('POST', '/v1/chat/completions', startBody(call), STREAM_IDLE_TIMEOUT, call.signal),
       headers: call.traceparent === undefined ? {} : { traceparent: call.traceparent }
     }),
     resume: (handle, offset, signal) =>
-      open(exchange('GET', `/v1/streams/${encodeURIComponent(handle)}?offset=${offset}`, undefined, STREAM_SILENCE, signal)),
+      openStream(exchange('GET', `/v1/streams/${encodeURIComponent(handle)}?offset=${offset}`, undefined, STREAM_IDLE_TIMEOUT, signal)),
     cancel: async (handle, signal) => {
       await exchangeJson(connections, exchange('POST', `/v1/streams/${encodeURIComponent(handle)}/cancel`, {}, CALL_TIMEOUT, signal), z.unknown())
     },
@@ -131,7 +138,7 @@
     cacheEvents: (after, signal) =>
       exchangeJson(connections, exchange('GET', `/v1/cache/events?after=${after}`, undefined, CALL_TIMEOUT, signal), cacheFeedSchema),
     exportCache: (handle, target, signal) =>
-      exchangeJson(connections, exchange('POST', '/v1/cache/export', { handle, target }, STREAM_SILENCE, signal), exportSchema),
+      exchangeJson(connections, exchange('POST', '/v1/cache/export', { handle, target }, STREAM_IDLE_TIMEOUT, signal), exportSchema),
     order: async (order, signal) =>
       (await exchangeJson(connections, exchange('POST', '/v1/orders', order, CALL_TIMEOUT, signal), orderAnswerSchema)).obeyed
   }
@@ -148,22 +155,25 @@
   }
 }
 
-async function refusal (response: HttpResponse, address: Address): Promise<ServingError> {
+async function refusalError (response: HttpResponse, address: Address): Promise<ServingError> {
   const text = await readBody(response, address)
   const verdict = text.includes('"verdict":"not-run"') ? 'not-run' : 'may-have-run'
   return new ServingError(`${address}: status ${response.statusCode}: ${text.slice(0, 200)}`, { code: 'upstream-refused', verdict })
 }
 
 /**
- * Failure guarded against: a connection that closes in the middle of an answer looks like its end.
- * Only the final mark makes an answer whole; without it the stream throws. And an engine that mixes
- * events of several streams would put another caller's words into this answer: only those that carry
- * the stream's own name are taken.
+ * Yields the events of one stream.
+ *
+ * Failure guarded against: a connection that closes in the middle of an answer looks like the end of the answer. An answer
+ * is complete only if the `[DONE]` event was received, and without that event the stream throws.
+ *
+ * Failure guarded against: an engine that mixes the events of several streams puts another caller's text into this answer.
+ * Only events whose id is the stream's handle are used. A stream without a handle is not filtered.
  */
-async function * eventsOf (response: HttpResponse, address: Address, handle: string): AsyncIterable<EngineEvent> {
+async function * readStreamEvents (response: HttpResponse, address: Address, handle: string): AsyncIterable<EngineEvent> {
   try {
     for await (const event of readEvents(response.body)) {
-      if (event.data === DONE) return
+      if (event.data === DONE_EVENT) return
       const chunk = chunkSchema.parse(JSON.parse(event.data))
       if (handle === '' || chunk.id === handle) yield * toEvents(chunk)
     }
--- a/src/protocols/epochs.ts
+++ b/src/protocols/epochs.ts
@@ -1,65 +1,69 @@
 /**
- * Epochs of a key-value service. A service that comes back from a backup begins a new one: what was written since
- * the backup is gone, and its revisions are given out again.
+ * Epochs of a key-value service. A new epoch begins when the service is restored from a backup: everything written since
+ * the backup is lost, and the service assigns the same revisions again.
  */
 import { setMaxListeners } from 'node:events'
 
-/** The service has come back from a backup. */
-export interface Restore {
+/** The service was restored from a backup. */
+export interface RestoreEvent {
+  /** Epoch before the restore. */
   readonly before: number
+  /** Epoch since the restore. */
   readonly epoch: number
 }
 
-/** Epochs as the answers of the service name them. */
+/** Read access to the epochs that the service's answers carried. */
 export interface Epochs {
-  /** The latest that an answer named; undefined before the first answer. */
+  /** Latest known epoch. Undefined before the first answer. */
   current (): number | undefined
-  /** Calls back once for each epoch after the first that was seen, before the answer that named it is used. */
-  onRestore (listener: (restore: Restore) => void): void
-  /** Aborts as the present epoch ends. */
+  /** Registers a listener. It is called once for each new epoch except the first one, before the answer that carried the epoch is used. */
+  onRestore (listener: (restore: RestoreEvent) => void): void
+  /** Signal that is aborted when the current epoch ends. */
   ended (): AbortSignal
 }
 
-/** Epochs with their source. */
+/** Epochs that are updated from the service's answers. */
 export interface EpochTracker extends Epochs {
-  /** An answer names its epoch; one that was long on its way may name an earlier one. */
+  /** Records the epoch of an answer. A delayed answer may carry an earlier epoch, which is ignored. */
   observe (epoch: number): void
 }
 
-/** Epoch of a service that names none. */
-export const ONLY_EPOCH = 0
+/** Epoch of a service whose answers carry none. */
+export const DEFAULT_EPOCH = 0
 
 /**
+ * Creates a tracker that knows no epoch yet.
+ *
  * @example
  * const epochs = createEpochTracker()
  * epochs.onRestore(({ epoch }) => log.warn('store-restored', { epoch }))
  * epochs.observe(2)
  */
 export function createEpochTracker (): EpochTracker {
-  const listeners: ((restore: Restore) => void)[] = []
+  const listeners: ((restore: RestoreEvent) => void)[] = []
   let current: number | undefined
-  let ending = createEnding()
+  let epochController = createEpochController()
 
   return {
     current: () => current,
     onRestore: (listener) => { listeners.push(listener) },
-    ended: () => ending.signal,
+    ended: () => epochController.signal,
     observe: (epoch) => {
       const before = current
       if (before !== undefined && epoch <= before) return
       current = epoch
       if (before === undefined) return
-      const ended = ending
-      ending = createEnding()
-      ended.abort()
+      const previousController = epochController
+      epochController = createEpochController()
+      previousController.abort()
       for (const listener of listeners) listener({ before, epoch })
     }
   }
 }
 
-/** Each watch listens to it; the default of ten listeners would be taken for a leak. */
-function createEnding (): AbortController {
-  const ending = new AbortController()
-  setMaxListeners(0, ending.signal)
-  return ending
+/** Creates the controller that ends an epoch. Every watch listens to its signal, so Node's warning at more than ten listeners is turned off. */
+function createEpochController (): AbortController {
+  const controller = new AbortController()
+  setMaxListeners(0, controller.signal)
+  return controller
 }
--- a/src/protocols/http.ts
+++ b/src/protocols/http.ts
@@ -1,7 +1,4 @@
-/**
- * HTTP towards the platform and upstreams: one pool of connections per process, and the mapping from
- * what failed to a verdict.
- */
+/** HTTP client for the platform, upstreams and peers: connection pools, and the mapping of failures to verdicts. */
 import { Agent } from 'undici'
 import type { Dispatcher } from 'undici'
 import type * as z from 'zod'
@@ -11,18 +8,19 @@
 import { ServingError } from '../verdict.js'
 import type { Verdict } from '../verdict.js'
 
-/** Connections of a process to other systems. */
+/** Connections of this process to other processes. */
 export type Connections = Dispatcher
 
-/** One exchange. */
+/** One HTTP request with its timeout. */
 export interface HttpExchange {
   readonly address: Address
   readonly method: 'GET' | 'HEAD' | 'POST' | 'PUT' | 'PATCH' | 'DELETE'
   readonly path: string
   readonly headers?: Readonly<Record<string, string>>
+  /** Sent as it is if it is a Buffer, otherwise as JSON. */
   readonly body?: unknown
-  /** Bound on the wait for the response head and between two pieces of the body, in milliseconds. */
-  readonly silence: Milliseconds
+  /** Maximum time until the response's headers, and between two chunks of its body. */
+  readonly idleTimeout: Milliseconds
   readonly signal?: AbortSignal
 }
 
@@ -30,17 +28,21 @@
 export type HttpResponse = Dispatcher.ResponseData
 
 const CONNECT_TIMEOUT: Milliseconds = 1_000
-const KEEP_ALIVE: Milliseconds = 10_000
 
-/** Errors that undici raises before any byte of the request was written. */
-const NEVER_SENT = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL'])
+/** Time after which an idle connection of the pool is closed. */
+const KEEP_ALIVE_TIMEOUT: Milliseconds = 10_000
 
-/** Errors that mean the other end went silent. */
-const SILENT = new Set(['UND_ERR_HEADERS_TIMEOUT', 'UND_ERR_BODY_TIMEOUT'])
+/** Codes of errors that undici throws before it has written any byte of the request. */
+const NOT_SENT_CODES = new Set(['ECONNREFUSED', 'UND_ERR_CONNECT_TIMEOUT', 'EHOSTUNREACH', 'ENETUNREACH', 'EADDRNOTAVAIL'])
+
+/** Codes of errors that undici throws after the idle timeout. */
+const TIMEOUT_CODES = new Set(['UND_ERR_HEADERS_TIMEOUT', 'UND_ERR_BODY_TIMEOUT'])
 
 /**
- * @param connections most connections to one address
- * @returns connections that their owner closes with `destroy`
+ * Creates a pool of connections that are reused.
+ *
+ * @param connections maximum number of connections to one address
+ * @returns connections that the caller closes with `destroy`
  * @example
  * const connections = createConnections(64)
  */
@@ -48,19 +50,19 @@
   return new Agent({
     connections,
     pipelining: 1,
-    keepAliveTimeout: KEEP_ALIVE,
+    keepAliveTimeout: KEEP_ALIVE_TIMEOUT,
     connect: { timeout: CONNECT_TIMEOUT }
   })
 }
 
 /**
- * Connections that serve one exchange each.
+ * Creates connections of which each serves a single exchange.
  *
- * Failure guarded against: the network between two ends forgets an idle connection; the next call on
- * it is swallowed and may or may not have run. A connection made for the call either opens or proves
- * `not-run`.
+ * Failure guarded against: the network drops the state of an idle connection. The next call on it gets no answer, and
+ * whether the call ran is unknown. A connection that is opened for the call is either established or fails with the
+ * verdict `not-run`.
  *
- * @param connections most connections to one address
+ * @param connections maximum number of connections to one address
  * @example
  * const fresh = createFreshConnections(64)
  */
@@ -70,11 +72,11 @@
 }
 
 /**
- * Sends one exchange and returns the response with its body still streaming.
+ * Sends a request and returns the response before its body has been read.
  *
- * @throws ServingError with the verdict that the failure proves
+ * @throws ServingError with the verdict that the failure proves, see {@link connectionFailure}
  * @example
- * const response = await send(connections, { address, method: 'GET', path: '/v1/load', silence: 2 * SECOND })
+ * const response = await send(connections, { address, method: 'GET', path: '/v1/load', idleTimeout: 2 * SECOND })
  */
 export async function send (connections: Connections, exchange: HttpExchange): Promise<HttpResponse> {
   try {
@@ -84,8 +86,8 @@
       method: exchange.method,
       headers: headersOf(exchange),
       body: bodyOf(exchange),
-      headersTimeout: exchange.silence,
-      bodyTimeout: exchange.silence,
+      headersTimeout: exchange.idleTimeout,
+      bodyTimeout: exchange.idleTimeout,
       signal: exchange.signal ?? null
     })
   } catch (error) {
@@ -94,16 +96,16 @@
 }
 
 /**
- * Sends one exchange and reads a JSON answer that must match a schema.
+ * Sends a request and parses the JSON response with a schema.
  *
- * @throws ServingError for a failed exchange, a status of 400 or more, or an answer of another shape
+ * @throws ServingError for a failed exchange, a status of 400 or higher, or a response that does not match the schema
  * @example
  * const report = await exchangeJson(connections, exchange, loadReportSchema)
  */
 export async function exchangeJson<T> (connections: Connections, exchange: HttpExchange, schema: z.ZodType<T>): Promise<T> {
   const response = await send(connections, exchange)
   const text = await readBody(response, exchange.address)
-  if (response.statusCode >= 400) throw statusFailure(response.statusCode, text, exchange.address)
+  if (response.statusCode >= 400) throw statusError(response.statusCode, text, exchange.address)
   const parsed = schema.safeParse(parseJson(text))
   if (parsed.success) return parsed.data
   throw new ServingError(`${exchange.address}${exchange.path}: unexpected answer: ${parsed.error.issues[0]?.message ?? 'no detail'}`, {
@@ -113,9 +115,9 @@
 }
 
 /**
- * Reads a whole body as text.
+ * Reads the whole body of a response as text.
  *
- * @throws ServingError `connection-lost` when it ends early
+ * @throws ServingError with the code `connection-lost`, `timeout` or `cancelled` if the body is incomplete
  * @example
  * const text = await readBody(response, address)
  */
@@ -128,8 +130,8 @@
 }
 
 /**
- * Failure of a connection as a {@link ServingError}. Only errors that precede the first written byte
- * prove `not-run`; a reset after that proves nothing.
+ * Converts an error of a connection into a {@link ServingError}. Only an error before the first byte of the request was
+ * written proves `not-run`. A connection that is reset later may have delivered the request.
  *
  * @example
  * connectionFailure(error, address).verdict // 'may-have-run' for ECONNRESET
@@ -137,18 +139,18 @@
 export function connectionFailure (error: unknown, address: Address): ServingError {
   if (error instanceof ServingError) return error
   const code = errorCode(error)
-  const verdict: Verdict = NEVER_SENT.has(code) ? 'not-run' : 'may-have-run'
-  // The colon joins the cause's message to the address.
+  const verdict: Verdict = NOT_SENT_CODES.has(code) ? 'not-run' : 'may-have-run'
+  // The trailing colon makes ServingError put this message before the message of the cause.
   if (isAbort(error)) return new ServingError(`${address}: cancelled:`, { code: 'cancelled', verdict, cause: error })
-  return new ServingError(`${address}:`, { code: SILENT.has(code) ? 'timeout' : 'connection-lost', verdict, cause: error })
+  return new ServingError(`${address}:`, { code: TIMEOUT_CODES.has(code) ? 'timeout' : 'connection-lost', verdict, cause: error })
 }
 
-function statusFailure (status: number, text: string, address: Address): ServingError {
+function statusError (status: number, text: string, address: Address): ServingError {
   const verdict = verdictInBody(text) ?? 'may-have-run'
   return new ServingError(`${address}: status ${status}: ${text.slice(0, 200)}`, { code: 'upstream-refused', verdict })
 }
 
-/** An upstream or platform service may say in `error.verdict` that it refused before it started. */
+/** Reads `error.verdict`, in which an upstream or a platform service states that it refused the request before it started. */
 function verdictInBody (text: string): Verdict | undefined {
   const body = parseJson(text) as { error?: { verdict?: unknown } } | undefined
   return body?.error?.verdict === 'not-run' ? 'not-run' : undefined
--- a/src/protocols/key-value.ts
+++ b/src/protocols/key-value.ts
@@ -1,7 +1,7 @@
 /**
- * The platform's key-value service, spoken to in the published JSON form of the etcd v3 API
- * (https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/): compare-and-swap by transactions on the
- * modification revision, leases and watches.
+ * Interface of the key-value service, and a client in the JSON form of the etcd v3 API
+ * (https://etcd.io/docs/v3.5/dev-guide/api_grpc_gateway/). Compare-and-swap is a transaction with a condition on the
+ * modification revision.
  */
 import * as z from 'zod'
 import type { Milliseconds } from '../clock.js'
@@ -19,10 +19,10 @@
   readonly revision: number
 }
 
-/** Entries at one moment of the store. */
+/** Entries under a prefix at one revision of the store. */
 export interface KeyValueListing {
   readonly entries: readonly KeyValueEntry[]
-  /** Revision of the store; a watch from the next one misses nothing. */
+  /** Revision of the store at the time of the read. A watch from the next revision misses no change. */
   readonly revision: number
 }
 
@@ -31,66 +31,68 @@
   | { kind: 'swapped', revision: number }
   | { kind: 'conflict', current: KeyValueEntry | undefined }
 
-/** One change seen by a watch. */
+/** One change reported by a watch. */
 export type KeyValueChange =
   | { kind: 'put', entry: KeyValueEntry }
   | { kind: 'delete', key: string, revision: number }
 
-/** A lease by the service's number for it. */
+/** Id that the service gave a lease. */
 export type LeaseId = string
 
 /** Options of a write. */
 export interface WriteOptions {
-  /** The key vanishes with this lease. */
+  /** The service deletes the key when this lease ends. */
   readonly lease?: LeaseId
   readonly signal?: AbortSignal
 }
 
-/** Expected revision of a key that must not exist. */
+/** Expected revision for a key that must not exist. */
 export const ABSENT = 0
 
 /**
- * The service as the system uses it. Every method rejects with a ServingError; the verdict
- * `may-have-run` of a write means that its reply was lost and only reading back can settle it.
+ * The key-value service. Every method rejects with a ServingError. If a write rejects with the verdict `may-have-run`, its
+ * reply was lost, and only a read can find out whether the write was carried out.
  */
 export interface KeyValue {
-  /** Returns of the service from a backup, as far as it tells of them. */
+  /** Epochs of the service, which change when the service is restored from a backup. No epoch is known if the service reports none. */
   readonly epochs: Epochs
   get (key: string, signal?: AbortSignal): Promise<KeyValueEntry | undefined>
+  /** @param mayBeStale the service may answer with an older state, if it supports that */
   list (prefix: string, signal?: AbortSignal, mayBeStale?: boolean): Promise<KeyValueListing>
   put (key: string, value: string, options?: WriteOptions): Promise<void>
-  /** Writes only if the key's revision is the expected one, {@link ABSENT} for a key that must not exist. */
+  /** Writes only if the key has the expected revision, which is {@link ABSENT} for a key that must not exist. */
   compareAndSwap (key: string, expectedRevision: number, value: string, options?: WriteOptions): Promise<SwapResult>
-  /** Deletes only if the key's revision is the expected one. */
+  /** Deletes only if the key has the expected revision. */
   compareAndDelete (key: string, expectedRevision: number, signal?: AbortSignal): Promise<SwapResult>
   grantLease (timeToLive: Milliseconds, signal?: AbortSignal): Promise<LeaseId>
-  /** Resolves to the remaining time, 0 when the lease has lapsed. */
+  /** Renews a lease. Resolves to its remaining time, or to 0 if the lease has expired. */
   keepAlive (lease: LeaseId, signal?: AbortSignal): Promise<Milliseconds>
   revokeLease (lease: LeaseId, signal?: AbortSignal): Promise<void>
   /**
-   * Changes under a prefix from a revision on. An empty list is a sign of progress. Ends by an error
-   * when the connection does or when it has been silent for too long.
+   * Yields the changes under a prefix from a revision on. An empty list means that the watch is alive without a change.
+   * Throws when the connection is lost or has been idle for too long.
    *
-   * @param silence longest time without a sign; the service's own where it is left out
+   * @param idleTimeout maximum time without a message. The client's own default if omitted
    */
-  watch (prefix: string, fromRevision: number, signal: AbortSignal, silence?: Milliseconds): AsyncIterable<readonly KeyValueChange[]>
+  watch (prefix: string, fromRevision: number, signal: AbortSignal, idleTimeout?: Milliseconds): AsyncIterable<readonly KeyValueChange[]>
 }
 
-/** Bound on one call. The service answers in milliseconds; what takes longer counts as lost. */
+/** Timeout of one call. The service answers within milliseconds, so a slower answer is considered lost. */
 const CALL_TIMEOUT: Milliseconds = 2 * SECOND
 
 /**
- * A silent watch is given up and opened anew after this time: a connection that something between
- * the ends has forgotten shows no error, only silence.
+ * Time without a message after which a watch fails, so that the caller opens a new one. If the network has dropped the state
+ * of a connection, neither end gets an error.
  */
-const WATCH_SILENCE: Milliseconds = 30 * SECOND
+const WATCH_IDLE_TIMEOUT: Milliseconds = 30 * SECOND
 
-const numberText = z.union([z.string(), z.number()]).transform(Number)
-const headerSchema = z.object({ revision: numberText })
+/** The service writes 64-bit numbers as strings. */
+const numberSchema = z.union([z.string(), z.number()]).transform(Number)
+const headerSchema = z.object({ revision: numberSchema })
 const entrySchema = z.object({
   key: z.string(),
   value: z.string().default(''),
-  mod_revision: numberText
+  mod_revision: numberSchema
 })
 const rangeSchema = z.object({ header: headerSchema, kvs: z.array(entrySchema).default([]) })
 const transactionSchema = z.object({
@@ -99,41 +101,43 @@
   responses: z.array(z.object({ response_range: z.object({ kvs: z.array(entrySchema).default([]) }).optional() })).default([])
 })
 const grantSchema = z.object({ ID: z.union([z.string(), z.number()]).transform(String) })
-const keepAliveSchema = z.object({ result: z.object({ TTL: numberText.default(0) }) })
+const keepAliveSchema = z.object({ result: z.object({ TTL: numberSchema.default(0) }) })
 const watchSchema = z.object({
   result: z.object({
     header: headerSchema,
     events: z.array(z.object({
       type: z.enum(['PUT', 'DELETE']).default('PUT'),
-      kv: z.object({ key: z.string(), value: z.string().default(''), mod_revision: numberText })
+      kv: z.object({ key: z.string(), value: z.string().default(''), mod_revision: numberSchema })
     })).default([])
   })
 })
 const anySchema = z.unknown()
 
 /**
- * @param addresses the service's addresses; a call goes to the first that accepts the connection
- * @param watchConnections connections for watches. Failure guarded against: something between the ends
- *   has forgotten the pooled connections; a watch that went silent would be opened again on another
- *   of them and stay silent. Connections that serve one exchange each are always new.
+ * Creates a client of the service.
+ *
+ * @param addresses of the service. All calls go to one address until a call fails. Later calls go to the next address
+ * @param watchConnections connections for watches. Failure guarded against: the network has dropped the state of the pooled
+ *   connections. A watch that went idle would be reopened on another such connection and receive nothing again.
+ *   Connections that serve a single exchange are always new.
  * @example
  * const keyValue = createKeyValue(connections, settings.platform.key_value, createFreshConnections(4))
  */
 export function createKeyValue (connections: Connections, addresses: readonly Address[], watchConnections: Connections = connections): KeyValue {
-  let preferred = 0
+  let addressIndex = 0
 
   async function call<T> (path: string, body: unknown, schema: z.ZodType<T>, signal?: AbortSignal): Promise<T> {
     try {
-      return await exchangeJson(connections, exchangeOf(path, body, CALL_TIMEOUT, signal), schema)
+      return await exchangeJson(connections, createExchange(path, body, CALL_TIMEOUT, signal), schema)
     } catch (error) {
-      preferred += 1
+      addressIndex += 1
       throw error
     }
   }
 
-  function exchangeOf (path: string, body: unknown, silence: Milliseconds, signal?: AbortSignal): HttpExchange {
-    const address = addresses[preferred % addresses.length] as Address
-    return { address, method: 'POST', path, body, silence, ...(signal ? { signal } : {}) }
+  function createExchange (path: string, body: unknown, idleTimeout: Milliseconds, signal?: AbortSignal): HttpExchange {
+    const address = addresses[addressIndex % addresses.length] as Address
+    return { address, method: 'POST', path, body, idleTimeout, ...(signal ? { signal } : {}) }
   }
 
   async function range (body: object, signal?: AbortSignal): Promise<KeyValueListing> {
@@ -174,9 +178,9 @@
     revokeLease: async (lease, signal) => {
       await call('/v3/lease/revoke', { ID: lease }, anySchema, signal)
     },
-    watch: async function * (prefix, fromRevision, signal, silence = WATCH_SILENCE) {
+    watch: async function * (prefix, fromRevision, signal, idleTimeout = WATCH_IDLE_TIMEOUT) {
       const create = { key: encode(prefix), range_end: encode(prefixEnd(prefix)), start_revision: String(fromRevision), progress_notify: true }
-      const response = await send(watchConnections, exchangeOf('/v3/watch', { create_request: create }, silence, signal))
+      const response = await send(watchConnections, createExchange('/v3/watch', { create_request: create }, idleTimeout, signal))
       for await (const line of linesOf(response.body)) {
         yield watchSchema.parse(JSON.parse(line)).result.events.map(toChange)
       }
@@ -185,7 +189,7 @@
 }
 
 /**
- * First key after all keys with a prefix.
+ * First key after all keys that start with a prefix, for use as the end of a range.
  *
  * @example
  * prefixEnd('nodes/') // 'nodes0'
@@ -210,10 +214,10 @@
 
 async function * linesOf (body: AsyncIterable<Uint8Array>): AsyncIterable<string> {
   const decoder = new TextDecoder()
-  let rest = ''
+  let remainder = ''
   for await (const chunk of body) {
-    const lines = (rest + decoder.decode(chunk, { stream: true })).split('\n')
-    rest = lines.pop() ?? ''
+    const lines = (remainder + decoder.decode(chunk, { stream: true })).split('\n')
+    remainder = lines.pop() ?? ''
     yield * lines.filter((line) => line.length > 0)
   }
 }
--- a/src/protocols/key-watch.ts
+++ b/src/protocols/key-watch.ts
@@ -1,98 +1,105 @@
-/** Follows a prefix of the key-value service: one read, then a watch, opened again when it fails. */
+/** Follows a prefix of the key-value service with a read and a watch. Both are repeated when the watch fails. */
 import type { Clock, Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { KeyValue, KeyValueChange } from './key-value.js'
 import type { Random } from '../random.js'
 
-/** What is followed and by whom. */
-export interface KeyWatch {
+/** Options of {@link followKeys}. */
+export interface FollowOptions {
   readonly keyValue: KeyValue
   readonly prefix: string
   readonly clock: Clock
   readonly random: Random
   readonly signal: AbortSignal
-  /** Whether this node is to watch now; others do it for the rest of the fleet. */
+  /** Whether this node should watch now. The other nodes get the changes from the nodes that do. */
   readonly wanted: () => boolean
-  /** Reads the present state; resolves to the service's revision of it. */
+  /** Reads the current state. Resolves to the revision of the service at the time of the read. */
   readonly load: () => Promise<number>
-  /** Takes changes; an empty list is a sign of progress. */
+  /** Handles changes. An empty list means that the watch is alive without a change. */
   readonly changed: (changes: readonly KeyValueChange[]) => void
+  /** Handles a failed read or watch, before it is retried. */
   readonly failed: (error: unknown) => void
-  /** {@link CALM_PAUSES} unless said otherwise; a function is asked before each call, where they change. */
-  readonly pauses?: WatchPauses | (() => WatchPauses)
+  /** Defaults to {@link DEFAULT_WATCH_INTERVALS}. A function is called again before each use, for intervals that change. */
+  readonly pauses?: WatchIntervals | (() => WatchIntervals)
 }
 
-/** Pauses of a follower. */
-export interface WatchPauses {
-  /** Before the first reading. */
-  readonly start: Milliseconds
-  /** After the first failure in a row; doubles with each further one. */
-  readonly first: Milliseconds
-  readonly longest: Milliseconds
-  /** Between two calls of a watch, so that what comes in quick succession is read at once. */
-  readonly batch: Milliseconds
-  /** Longest silence of a watch before it is opened anew; the service's own where it is left out. */
-  readonly silence?: Milliseconds
-  /** Pause between two looks whether this node is to watch; {@link IDLE_CHECK} where it is left out. */
-  readonly idle?: Milliseconds
+/** Delays and intervals of {@link followKeys}. */
+export interface WatchIntervals {
+  /** Minimum delay before the first read. The actual delay is random, up to twice as long. */
+  readonly startDelay: Milliseconds
+  /** Delay after the first of several failures in a row. It doubles with each further failure. */
+  readonly initialRetryDelay: Milliseconds
+  /** Maximum delay after a failure. */
+  readonly maxRetryDelay: Milliseconds
+  /** Pause between two messages of a watch, so that changes in quick succession arrive in one message. */
+  readonly batchInterval: Milliseconds
+  /** Maximum time without a message before a watch is reopened. The client's own default if omitted. */
+  readonly idleTimeout?: Milliseconds
+  /** Interval at which a node that does not watch checks whether it should. Defaults to {@link ROLE_CHECK_INTERVAL}. */
+  readonly roleCheckInterval?: Milliseconds
 }
 
-const IDLE_CHECK: Milliseconds = SECOND
+/** Default interval between two checks whether this node should watch. */
+const ROLE_CHECK_INTERVAL: Milliseconds = SECOND
 
-/** A node that has just started knows no other and would take itself for a watcher; it waits first. */
-export const CALM_PAUSES: WatchPauses = { start: IDLE_CHECK, first: SECOND, longest: 8 * SECOND, batch: 0 }
+/**
+ * Default intervals. The start is delayed because a node that has just started knows no other nodes, and would therefore
+ * conclude that it should watch.
+ */
+export const DEFAULT_WATCH_INTERVALS: WatchIntervals = { startDelay: ROLE_CHECK_INTERVAL, initialRetryDelay: SECOND, maxRetryDelay: 8 * SECOND, batchInterval: 0 }
 
 /**
- * Follows until the signal aborts.
+ * Follows a prefix until the signal aborts. Each read is followed by a watch from the next revision, so no change is missed
+ * while a watch is interrupted.
  *
  * @example
  * followKeys({ keyValue, prefix, clock, random, signal, wanted: () => true, load, changed, failed })
  */
-export async function followKeys (watch: KeyWatch): Promise<void> {
-  let pauses = pausesOf(watch)
-  let pause = pauses.first
-  if (pauses.start > 0) await rest(watch, pauses.start * (1 + watch.random.fraction()))
-  while (!watch.signal.aborted) {
-    pauses = pausesOf(watch)
-    if (!watch.wanted()) {
-      await rest(watch, pauses.idle ?? IDLE_CHECK)
+export async function followKeys (options: FollowOptions): Promise<void> {
+  let intervals = intervalsOf(options)
+  let retryDelay = intervals.initialRetryDelay
+  if (intervals.startDelay > 0) await sleep(options, intervals.startDelay * (1 + options.random.fraction()))
+  while (!options.signal.aborted) {
+    intervals = intervalsOf(options)
+    if (!options.wanted()) {
+      await sleep(options, intervals.roleCheckInterval ?? ROLE_CHECK_INTERVAL)
       continue
     }
     try {
-      const revision = await watch.load()
-      pause = pauses.first
-      await followFrom(watch, revision + 1)
+      const revision = await options.load()
+      retryDelay = intervals.initialRetryDelay
+      await followFrom(options, revision + 1)
     } catch (error) {
-      if (watch.signal.aborted) return
-      watch.failed(error)
-      // Failure guarded against: when the service comes back, all watchers would call in the same
-      // instant. The pauses grow and are spread over half their length.
-      await rest(watch, pause * (1 + watch.random.fraction()) / 2)
-      pause = Math.min(pauses.longest, pause * 2)
+      if (options.signal.aborted) return
+      options.failed(error)
+      // Failure guarded against: after an outage of the service, all watching nodes call it at the same instant.
+      // The delays grow, and each one is random between half and the whole of its length.
+      await sleep(options, retryDelay * (1 + options.random.fraction()) / 2)
+      retryDelay = Math.min(intervals.maxRetryDelay, retryDelay * 2)
     }
   }
 }
 
-async function followFrom (watch: KeyWatch, revision: number): Promise<void> {
-  const { silence } = pausesOf(watch)
-  const owner = new AbortController()
-  const signal = AbortSignal.any([watch.signal, owner.signal])
+async function followFrom (options: FollowOptions, revision: number): Promise<void> {
+  const { idleTimeout } = intervalsOf(options)
+  const watchController = new AbortController()
+  const signal = AbortSignal.any([options.signal, watchController.signal])
   try {
-    for await (const changes of watch.keyValue.watch(watch.prefix, revision, signal, silence)) {
-      watch.changed(changes)
-      const present = pausesOf(watch)
-      if (!watch.wanted() || present.silence !== silence) return
-      if (present.batch > 0) await rest(watch, present.batch)
+    for await (const changes of options.keyValue.watch(options.prefix, revision, signal, idleTimeout)) {
+      options.changed(changes)
+      const current = intervalsOf(options)
+      if (!options.wanted() || current.idleTimeout !== idleTimeout) return
+      if (current.batchInterval > 0) await sleep(options, current.batchInterval)
     }
   } finally {
-    owner.abort()
+    watchController.abort()
   }
 }
 
-function pausesOf ({ pauses = CALM_PAUSES }: KeyWatch): WatchPauses {
+function intervalsOf ({ pauses = DEFAULT_WATCH_INTERVALS }: FollowOptions): WatchIntervals {
   return typeof pauses === 'function' ? pauses() : pauses
 }
 
-function rest (watch: KeyWatch, duration: Milliseconds): Promise<void> {
-  return watch.clock.sleep(duration, watch.signal).catch(() => {})
+function sleep (options: FollowOptions, duration: Milliseconds): Promise<void> {
+  return options.clock.sleep(duration, options.signal).catch(() => {})
 }
--- a/src/protocols/listen.ts
+++ b/src/protocols/listen.ts
@@ -1,14 +1,14 @@
-/** Servers that listen on an address, and end. */
+/** Start and end of HTTP servers. */
 import type { Server } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { addressSchema } from '../identifiers.js'
 import type { Address } from '../identifiers.js'
 
 /**
- * Listens on an address; port 0 takes any free one.
+ * Starts listening on an address. Port 0 selects any free port.
  *
  * @returns the bound address
- * @throws when the address cannot be listened on
+ * @throws the error of `server.listen` if the address cannot be bound
  * @example
  * const address = await listen(server, settings.listen)
  */
@@ -23,7 +23,7 @@
 }
 
 /**
- * Ends a server and its connections at once.
+ * Closes a server and all its connections immediately.
  *
  * @example
  * await closeServer(server)
--- a/src/protocols/plain-service.ts
+++ b/src/protocols/plain-service.ts
@@ -1,4 +1,4 @@
-/** A plain service: calls are passed through with method, path, headers and body. */
+/** Client of a plain service, which is any HTTP service other than a model engine. Calls are forwarded with method, path, headers and body. */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { Address } from '../identifiers.js'
@@ -7,26 +7,27 @@
 import { connectionFailure, send } from './http.js'
 import type { Connections, HttpResponse } from './http.js'
 
-/** Bound on the wait for a response head and between two pieces of a body. */
-export const PLAIN_SILENCE: Milliseconds = 30 * SECOND
+/** Maximum time until the response's headers, and between two chunks of its body. */
+export const PLAIN_IDLE_TIMEOUT: Milliseconds = 30 * SECOND
 
-/** Largest response that is passed through, in bytes. */
-const LARGEST_RESPONSE = 16_777_216
+/** Maximum size of a response body. */
+const MAX_RESPONSE_BYTES = 16_777_216
 
-/** Headers that belong to one connection (RFC 9110, section 7.6.1), and those that the next hop sets itself. */
-const HOP_BY_HOP = new Set([
+/** Headers of one connection (RFC 9110, section 7.6.1), and headers that the next hop sets itself. */
+const HOP_BY_HOP_HEADERS = new Set([
   'connection', 'keep-alive', 'proxy-authenticate', 'proxy-authorization', 'te', 'trailer', 'transfer-encoding', 'upgrade',
   'proxy-connection', 'host', 'content-length', 'expect'
 ])
 
+/** Response header in which a service states the verdict of a refused call. */
 const VERDICT_HEADER = 'hornbeamgap-verdict'
 
 /**
  * Calls a plain service.
  *
- * @param connections for a call that may not be repeated, connections that are never reused: a pooled
- *   one that went silent would leave the call's outcome unknown
- * @throws ServingError; `not-run` only when nothing was sent or the service says so
+ * @param connections for a call that must not be repeated, connections that are never reused. If the network has dropped the
+ *   state of a pooled connection, the outcome of the call is unknown
+ * @throws ServingError with the verdict `not-run` only if nothing was sent or the service states it
  * @example
  * const response = await callPlainService(connections, address, call, { signal })
  */
@@ -37,7 +38,7 @@
     path: call.path,
     headers: requestHeaders(call, options.traceparent),
     ...(call.body === '' ? {} : { body: Buffer.from(call.body, 'base64') }),
-    silence: PLAIN_SILENCE,
+    idleTimeout: PLAIN_IDLE_TIMEOUT,
     signal: options.signal
   })
   const body = await readBytes(response, address)
@@ -48,22 +49,22 @@
 }
 
 /**
- * Headers without those of one connection, including the ones that `connection` names.
+ * Removes hop-by-hop headers, including those that the `connection` header names.
  *
  * @example
- * endToEnd([['Connection', 'close, x-hop'], ['X-Hop', '1'], ['Accept', '*']]) // [['Accept', '*']]
+ * endToEndHeaders([['Connection', 'close, x-hop'], ['X-Hop', '1'], ['Accept', '*']]) // [['Accept', '*']]
  */
-export function endToEnd (headers: readonly (readonly [string, string])[]): [string, string][] {
-  const named = headers.flatMap(([name, value]) => name.toLowerCase() === 'connection' ? value.toLowerCase().split(',').map((part) => part.trim()) : [])
+export function endToEndHeaders (headers: readonly (readonly [string, string])[]): [string, string][] {
+  const connectionOptions = headers.flatMap(([name, value]) => name.toLowerCase() === 'connection' ? value.toLowerCase().split(',').map((part) => part.trim()) : [])
   return headers.flatMap(([name, value]): [string, string][] => {
     const key = name.toLowerCase()
-    return HOP_BY_HOP.has(key) || named.includes(key) ? [] : [[name, value]]
+    return HOP_BY_HOP_HEADERS.has(key) || connectionOptions.includes(key) ? [] : [[name, value]]
   })
 }
 
 function requestHeaders (call: PlainCall, traceparent: string | undefined): Record<string, string> {
   const headers: Record<string, string> = {}
-  // The headers are end to end already: they were made so when the call was received.
+  // Hop-by-hop headers were already removed when the call was received.
   for (const [name, value] of call.headers) {
     const key = name.toLowerCase()
     headers[key] = headers[key] === undefined ? value : `${headers[key]}, ${value}`
@@ -76,10 +77,10 @@
     if (value === undefined) return []
     return Array.isArray(value) ? value.map((item) => [name, item]) : [[name, value]]
   })
-  return endToEnd(pairs)
+  return endToEndHeaders(pairs)
 }
 
-/** A service may say by header or in `error.verdict` that it refused before it started. */
+/** Whether the service states, in a header or in `error.verdict`, that it refused the call before it started. */
 function refusedBeforeRunning (response: HttpResponse, body: Buffer): boolean {
   if (response.statusCode < 400) return false
   if (response.headers[VERDICT_HEADER] === 'not-run') return true
@@ -92,7 +93,7 @@
   try {
     for await (const chunk of response.body) {
       size += chunk.length
-      if (size > LARGEST_RESPONSE) throw new ServingError(`${address}: the response is larger than ${LARGEST_RESPONSE} bytes`, { code: 'upstream-failed', verdict: 'ran' })
+      if (size > MAX_RESPONSE_BYTES) throw new ServingError(`${address}: the response is larger than ${MAX_RESPONSE_BYTES} bytes`, { code: 'upstream-failed', verdict: 'ran' })
       chunks.push(chunk)
     }
   } catch (error) {
--- a/src/protocols/prompt.ts
+++ b/src/protocols/prompt.ts
@@ -1,20 +1,21 @@
-/** A prompt as engines cache it: estimated tokens, and chained hashes of its leading blocks. */
+/** Estimated token count of a prompt, and chained hashes of its leading blocks, by which engines cache it. */
 import { createHash } from 'node:crypto'
 import type { ChatMessage } from '../request/index.js'
 
-/** Characters of one block; about 64 tokens. */
+/** Number of characters in a block, about 64 tokens. */
 export const BLOCK_CHARACTERS = 256
 
-/** Characters that make up one token, on average. */
+/** Average number of characters in a token. */
 const CHARACTERS_PER_TOKEN = 4
 
-/** Blocks that are hashed; what lies beyond them hardly decides between two upstreams. */
-const MOST_BLOCKS = 256
+/** Maximum number of blocks that are hashed. Later blocks rarely make a difference in the choice of an upstream. */
+const MAX_BLOCKS = 256
 
+/** Number of hexadecimal digits that are kept of a hash. */
 const HASH_LENGTH = 16
 
 /**
- * Estimated tokens of a prompt.
+ * Estimates the number of tokens in a prompt.
  *
  * @example
  * promptTokens([{ role: 'user', content: 'Which resin?' }]) // 3
@@ -24,16 +25,16 @@
 }
 
 /**
- * Hashes of a prompt's leading whole blocks, shortest prefix first. Each hash covers everything
- * before it, so equal hashes mean equal prefixes.
+ * Hashes of a prompt's leading complete blocks, shortest prefix first. Each hash also covers all blocks before it, so equal
+ * hashes mean equal prefixes.
  *
- * @param adapter adapter that computes the prompt; its cache is apart from others
+ * @param adapter adapter that the prompt is computed with, which has a cache of its own
  * @example
  * prefixBlocks(messages, undefined)[0] // equal for prompts with equal first 256 characters
  */
 export function prefixBlocks (messages: readonly ChatMessage[], adapter: string | undefined): string[] {
   const text = messages.map((message) => `${message.role}:${message.content}\n`).join('')
-  const count = Math.min(MOST_BLOCKS, Math.floor(text.length / BLOCK_CHARACTERS))
+  const count = Math.min(MAX_BLOCKS, Math.floor(text.length / BLOCK_CHARACTERS))
   const blocks: string[] = []
   let previous = adapter ?? ''
   for (let index = 0; index < count; index += 1) {
--- a/src/protocols/restorable-key-value.ts
+++ b/src/protocols/restorable-key-value.ts
@@ -1,9 +1,10 @@
 /**
- * A key-value service that may come back from a backup, behind the interface that the system uses.
+ * Implements {@link KeyValue} on top of a key-value service that may be restored from a backup.
  *
- * Failure guarded against: such a service gives revisions and leases out again. A condition on a revision would hold over
- * another value, a renewal would keep another's lease, and a watch would pass over what was written before its number came
- * round. Revisions and leases are bound to the epoch in which they were given, and end with it.
+ * Failure guarded against: after a restore, the service assigns the same revisions and lease ids again. A condition on a
+ * revision would then hold for another value, a renewal would extend the lease of another process, and a watch would skip
+ * the changes before the revision that it waits for. Revisions and leases are therefore bound to the epoch in which they
+ * were assigned, and are invalid in later epochs.
  */
 import type { Milliseconds } from '../clock.js'
 import { ServingError } from '../verdict.js'
@@ -13,36 +14,38 @@
 import type { KeyValue, KeyValueChange, KeyValueEntry, KeyValueListing, LeaseId, SwapResult, WriteOptions } from './key-value.js'
 import { epochOf, revisionIn, withinEpoch } from '../revision.js'
 
-/** An answer, with the epoch of the service that gave it. */
-export interface Answered<T> {
+/** A value that the service returned, with the epoch in which it did. */
+export interface WithEpoch<T> {
   readonly epoch: number
   readonly value: T
 }
 
-/** Calls of such a service; revisions and leases are the service's own, which it gives out again in each epoch. */
+/** Calls of the service. Revisions and lease ids are those of the service, which are unique only within an epoch. */
 export interface RestorableService {
-  get (key: string, signal?: AbortSignal): Promise<Answered<KeyValueEntry | undefined>>
-  list (prefix: string, signal?: AbortSignal, mayBeStale?: boolean): Promise<Answered<KeyValueListing>>
-  put (key: string, value: string, options?: WriteOptions): Promise<Answered<void>>
-  compareAndSwap (key: string, expectedRevision: number, value: string, options?: WriteOptions): Promise<Answered<SwapResult>>
-  compareAndDelete (key: string, expectedRevision: number, signal?: AbortSignal): Promise<Answered<SwapResult>>
-  grantLease (timeToLive: Milliseconds, signal?: AbortSignal): Promise<Answered<LeaseId>>
-  keepAlive (lease: LeaseId, signal?: AbortSignal): Promise<Answered<Milliseconds>>
-  revokeLease (lease: LeaseId, signal?: AbortSignal): Promise<Answered<void>>
-  watch (prefix: string, fromRevision: number, signal: AbortSignal, silence?: Milliseconds): AsyncIterable<Answered<readonly KeyValueChange[]>>
+  get (key: string, signal?: AbortSignal): Promise<WithEpoch<KeyValueEntry | undefined>>
+  list (prefix: string, signal?: AbortSignal, mayBeStale?: boolean): Promise<WithEpoch<KeyValueListing>>
+  put (key: string, value: string, options?: WriteOptions): Promise<WithEpoch<void>>
+  compareAndSwap (key: string, expectedRevision: number, value: string, options?: WriteOptions): Promise<WithEpoch<SwapResult>>
+  compareAndDelete (key: string, expectedRevision: number, signal?: AbortSignal): Promise<WithEpoch<SwapResult>>
+  grantLease (timeToLive: Milliseconds, signal?: AbortSignal): Promise<WithEpoch<LeaseId>>
+  keepAlive (lease: LeaseId, signal?: AbortSignal): Promise<WithEpoch<Milliseconds>>
+  revokeLease (lease: LeaseId, signal?: AbortSignal): Promise<WithEpoch<void>>
+  watch (prefix: string, fromRevision: number, signal: AbortSignal, idleTimeout?: Milliseconds): AsyncIterable<WithEpoch<readonly KeyValueChange[]>>
 }
 
-/** A lease with the epoch that it was granted in. */
+/** A lease with the epoch in which it was granted. */
 interface GrantedLease {
   readonly epoch: number
-  /** The service's own name for it. */
+  /** Id that the service gave the lease. */
   readonly id: LeaseId
 }
 
-/** Between the epoch and the service's own name in the name of a lease. */
-const SEPARATOR = '/'
+/** Separates the epoch from the service's id in a {@link LeaseId}. */
+const LEASE_SEPARATOR = '/'
 
 /**
+ * Creates a key-value store whose revisions and leases stay unique when the service is restored from a backup.
+ *
  * @example
  * const store = createRestorableKeyValue(service)
  * store.epochs.onRestore(({ epoch }) => log.warn('store-restored', { epoch }))
@@ -50,27 +53,27 @@
 export function createRestorableKeyValue (service: RestorableService): KeyValue {
   const epochs = createEpochTracker()
 
-  function isPast (epoch: number): boolean {
+  function isPastEpoch (epoch: number): boolean {
     return epoch < (epochs.current() ?? epoch)
   }
 
-  /** The service's own options; a lease of a past epoch is gone. */
-  function ownOptions (options: WriteOptions | undefined): WriteOptions | undefined {
+  /** Converts options for the service. Throws if they contain a lease of a past epoch, which no longer exists. */
+  function toServiceOptions (options: WriteOptions | undefined): WriteOptions | undefined {
     if (options?.lease === undefined) return options
-    const { epoch, id } = readLease(options.lease)
-    if (isPast(epoch)) throw pastEpoch('the lease', 'not-run')
+    const { epoch, id } = parseLease(options.lease)
+    if (isPastEpoch(epoch)) throw pastEpochError('the lease', 'not-run')
     return { ...options, lease: id }
   }
 
   /**
-   * A write that was asked for in one epoch and carried out in another may stand beside what its caller never saw, or
-   * under another's lease; only reading back can settle it.
+   * Carries out a write. Throws if the epoch has changed between the call and the service's answer: the write may then rest
+   * on a state that the caller has never read, or be attached to the lease of another process. Only a read can find out.
    */
-  async function write<T> (call: () => Promise<Answered<T>>): Promise<Answered<T>> {
-    const asked = epochs.current()
+  async function write<T> (call: () => Promise<WithEpoch<T>>): Promise<WithEpoch<T>> {
+    const epochAtCall = epochs.current()
     const answer = await call()
     epochs.observe(answer.epoch)
-    if (asked !== undefined && answer.epoch !== asked) throw pastEpoch('the call', 'may-have-run')
+    if (epochAtCall !== undefined && answer.epoch !== epochAtCall) throw pastEpochError('the call', 'may-have-run')
     return answer
   }
 
@@ -80,8 +83,8 @@
     return value && entryIn(epoch, value)
   }
 
-  async function swap (key: string, expectedRevision: number, signal: AbortSignal | undefined, call: (expected: number) => Promise<Answered<SwapResult>>): Promise<SwapResult> {
-    if (expectedRevision !== ABSENT && isPast(epochOf(expectedRevision))) return { kind: 'conflict', current: await get(key, signal) }
+  async function swap (key: string, expectedRevision: number, signal: AbortSignal | undefined, call: (expected: number) => Promise<WithEpoch<SwapResult>>): Promise<SwapResult> {
+    if (expectedRevision !== ABSENT && isPastEpoch(epochOf(expectedRevision))) return { kind: 'conflict', current: await get(key, signal) }
     const { epoch, value } = await write(() => call(withinEpoch(expectedRevision)))
     switch (value.kind) {
       case 'swapped': return { kind: 'swapped', revision: revisionIn(epoch, value.revision) }
@@ -98,40 +101,40 @@
       return { entries: value.entries.map((entry) => entryIn(epoch, entry)), revision: revisionIn(epoch, value.revision) }
     },
     put: async (key, value, options) => {
-      const own = ownOptions(options)
-      await write(() => service.put(key, value, own))
+      const serviceOptions = toServiceOptions(options)
+      await write(() => service.put(key, value, serviceOptions))
     },
     compareAndSwap: async (key, expectedRevision, value, options) => {
-      const own = ownOptions(options)
-      return swap(key, expectedRevision, options?.signal, (expected) => service.compareAndSwap(key, expected, value, own))
+      const serviceOptions = toServiceOptions(options)
+      return swap(key, expectedRevision, options?.signal, (expected) => service.compareAndSwap(key, expected, value, serviceOptions))
     },
     compareAndDelete: (key, expectedRevision, signal) => swap(key, expectedRevision, signal, (expected) => service.compareAndDelete(key, expected, signal)),
     grantLease: async (...call) => {
       const { epoch, value } = await write(() => service.grantLease(...call))
-      return writeLease({ epoch, id: value })
+      return formatLease({ epoch, id: value })
     },
     keepAlive: async (lease, signal) => {
-      const granted = readLease(lease)
-      if (isPast(granted.epoch)) return 0
+      const granted = parseLease(lease)
+      if (isPastEpoch(granted.epoch)) return 0
       const { epoch, value } = await service.keepAlive(granted.id, signal)
       epochs.observe(epoch)
       return epoch === granted.epoch ? value : 0
     },
     revokeLease: async (lease, signal) => {
-      const granted = readLease(lease)
-      if (isPast(granted.epoch)) return
+      const granted = parseLease(lease)
+      if (isPastEpoch(granted.epoch)) return
       await write(() => service.revokeLease(granted.id, signal))
     },
-    watch: async function * (prefix, fromRevision, signal, silence) {
-      const asked = epochOf(fromRevision)
-      if (isPast(asked)) throw pastEpoch('the watch', 'not-run')
+    watch: async function * (prefix, fromRevision, signal, idleTimeout) {
+      const watchEpoch = epochOf(fromRevision)
+      if (isPastEpoch(watchEpoch)) throw pastEpochError('the watch', 'not-run')
       const ended = AbortSignal.any([signal, epochs.ended()])
-      for await (const { epoch, value } of service.watch(prefix, withinEpoch(fromRevision), ended, silence)) {
+      for await (const { epoch, value } of service.watch(prefix, withinEpoch(fromRevision), ended, idleTimeout)) {
         epochs.observe(epoch)
-        if (epoch !== asked) throw pastEpoch('the watch', 'not-run')
+        if (epoch !== watchEpoch) throw pastEpochError('the watch', 'not-run')
         yield value.map((change) => changeIn(epoch, change))
       }
-      if (!signal.aborted) throw pastEpoch('the watch', 'not-run')
+      if (!signal.aborted) throw pastEpochError('the watch', 'not-run')
     }
   }
 }
@@ -147,15 +150,15 @@
   }
 }
 
-function writeLease ({ epoch, id }: GrantedLease): LeaseId {
-  return `${epoch}${SEPARATOR}${id}`
+function formatLease ({ epoch, id }: GrantedLease): LeaseId {
+  return `${epoch}${LEASE_SEPARATOR}${id}`
 }
 
-function readLease (lease: LeaseId): GrantedLease {
-  const [epoch = '', id = ''] = lease.split(SEPARATOR)
+function parseLease (lease: LeaseId): GrantedLease {
+  const [epoch = '', id = ''] = lease.split(LEASE_SEPARATOR)
   return { epoch: Number(epoch), id }
 }
 
-function pastEpoch (what: string, verdict: Verdict): ServingError {
-  return new ServingError(`store: ${what} is of an earlier epoch: it has come back from a backup`, { code: 'gone', verdict })
+function pastEpochError (what: string, verdict: Verdict): ServingError {
+  return new ServingError(`store: ${what} belongs to an earlier epoch: the store was restored from a backup`, { code: 'gone', verdict })
 }
--- a/src/protocols/server-sent-events.ts
+++ b/src/protocols/server-sent-events.ts
@@ -1,39 +1,42 @@
 /**
- * Reading of server-sent events (https://html.spec.whatwg.org/multipage/server-sent-events.html), as
- * model engines and the callers' API send them.
+ * Parsing and formatting of server-sent events (https://html.spec.whatwg.org/multipage/server-sent-events.html), which
+ * model engines and the callers' API send.
  */
 
-/** One event. */
+/** One server-sent event. */
 export interface ServerSentEvent {
   readonly id: string | undefined
+  /** Type of the event, `message` if none is given. */
   readonly event: string
   readonly data: string
 }
 
-/** Longest accepted event, in characters; a longer one ends the stream with an error. */
-const LONGEST_EVENT = 1_048_576
+/** Maximum length of an event. A longer event ends the stream with an error. */
+const MAX_EVENT_CHARACTERS = 1_048_576
 
 /**
+ * Parses a stream of server-sent events.
+ *
  * @param body bytes of a `text/event-stream`
- * @returns its events in order; an unfinished last event is dropped, as the standard says
- * @throws RangeError for an event beyond the bound
+ * @returns the events with data in order. An incomplete last event is discarded, as the standard requires
+ * @throws RangeError for an event of more than 1,048,576 characters
  * @example
  * for await (const event of readEvents(response.body)) handle(event.data)
  */
 export async function * readEvents (body: AsyncIterable<Uint8Array>): AsyncIterable<ServerSentEvent> {
   const decoder = new TextDecoder()
-  let rest = ''
+  let remainder = ''
   for await (const chunk of body) {
-    rest += decoder.decode(chunk, { stream: true })
-    const blocks = rest.split(/\r?\n\r?\n/)
-    rest = blocks.pop() ?? ''
-    if (rest.length > LONGEST_EVENT) throw new RangeError('server-sent event is too long')
+    remainder += decoder.decode(chunk, { stream: true })
+    const blocks = remainder.split(/\r?\n\r?\n/)
+    remainder = blocks.pop() ?? ''
+    if (remainder.length > MAX_EVENT_CHARACTERS) throw new RangeError('server-sent event is too long')
     yield * blocks.map(parseEvent).filter((event) => event.data !== '')
   }
 }
 
 /**
- * One event as bytes of a `text/event-stream`.
+ * Formats one event of a `text/event-stream`. The data must be a single line.
  *
  * @example
  * formatEvent('[DONE]') // 'data: [DONE]\n\n'
--- a/src/protocols/weight-store.ts
+++ b/src/protocols/weight-store.ts
@@ -1,7 +1,7 @@
 /**
- * The weight store, from which engines fetch what they are ordered to load. Its rate is shared by
- * the transfers that are open. The system never fetches weights itself: it decides which engine is
- * ordered to load next, and reads here how large a model is and what is under way.
+ * Client of the weight store, from which engines fetch the models that they are ordered to load. All open transfers share
+ * the store's rate. The system never fetches weights itself. It decides which engine is ordered to load next, and reads
+ * from the store how large the models are and which transfers are in progress.
  */
 import * as z from 'zod'
 import type { Milliseconds } from '../clock.js'
@@ -10,40 +10,43 @@
 import { exchangeJson } from './http.js'
 import type { Connections } from './http.js'
 
-/** One fetch under way. */
+/** Schema of a transfer in progress. */
 export const weightTransferSchema = z.object({
-  /** The engine that fetches, as it names itself. */
+  /** Name that the fetching engine gives itself. */
   upstream: z.string(),
   model: z.string(),
   bytes: z.number().positive(),
   receivedBytes: z.number().nonnegative()
 })
 
-/** What the store holds and does. */
+/** Schema of the store's models and transfers. */
 export const weightStoreStatusSchema = z.object({
-  /** Bytes the store sends in a millisecond, shared by all transfers. */
+  /** Bytes per millisecond that the store sends in all transfers together. */
   bytesPerMs: z.number().positive(),
   models: z.array(z.object({ model: z.string(), bytes: z.number().positive() })),
   transfers: z.array(weightTransferSchema)
 })
 export type WeightStoreStatus = z.infer<typeof weightStoreStatusSchema>
 
-/** The store as the system uses it. */
+/** The weight store. */
 export interface WeightStore {
-  /** Rejects with a ServingError when the store cannot be had. */
+  /** Reads the status. Rejects with a ServingError if the store is not available. */
   status (signal?: AbortSignal): Promise<WeightStoreStatus>
 }
 
+/** Timeout of one call. */
 const CALL_TIMEOUT: Milliseconds = 2 * SECOND
 
 /**
+ * Creates a client of the weight store.
+ *
  * @example
  * const { transfers } = await createWeightStore(connections, settings.platform.weight_store).status()
  */
 export function createWeightStore (connections: Connections, address: Address): WeightStore {
   return {
     status: (signal) => exchangeJson(connections, {
-      address, method: 'GET', path: '/status', silence: CALL_TIMEOUT, ...(signal ? { signal } : {})
+      address, method: 'GET', path: '/status', idleTimeout: CALL_TIMEOUT, ...(signal ? { signal } : {})
     }, weightStoreStatusSchema)
   }
 }
--- a/stand-ins/engine/movement.ts
+++ b/stand-ins/engine/movement.ts
@@ -46,7 +46,7 @@
 
   async function sendStream (stream: Stream, target: Address): Promise<string> {
     const imported: ImportedStream = { body: stream.body, offset: stream.sent }
-    const exchange = { address: target, method: 'POST' as const, path: '/v1/cache/import', body: imported, silence: IMPORT_TIMEOUT, signal }
+    const exchange = { address: target, method: 'POST' as const, path: '/v1/cache/import', body: imported, idleTimeout: IMPORT_TIMEOUT, signal }
     return (await exchangeJson(context.connections, exchange, importAnswerSchema)).handle
   }
 
--- a/stand-ins/key-value-direct.ts
+++ b/stand-ins/key-value-direct.ts
@@ -3,7 +3,7 @@
 import { SECOND } from '../src/clock.js'
 import { prefixEnd } from '../src/protocols/key-value.js'
 import { createRestorableKeyValue } from '../src/protocols/restorable-key-value.js'
-import type { Answered } from '../src/protocols/restorable-key-value.js'
+import type { WithEpoch } from '../src/protocols/restorable-key-value.js'
 import type { KeyValue, KeyValueChange } from '../src/protocols/key-value.js'
 import { ServingError } from '../src/verdict.js'
 import type { FaultSwitch } from './faults.js'
@@ -43,7 +43,7 @@
 export function createDirectKeyValue (store: KeyValueStore, faultSwitch: FaultSwitch, clock: Clock, direct: DirectFaults = { lateBy: 0, lateEvery: 1 }): DirectKeyValue {
   const calls: KeyValueCalls = { reads: 0, writes: 0, watches: 0 }
 
-  async function answer<T> (operation: () => T, signal: AbortSignal | undefined): Promise<Answered<T>> {
+  async function answer<T> (operation: () => T, signal: AbortSignal | undefined): Promise<WithEpoch<T>> {
     const fate = faultSwitch.next()
     if (faultSwitch.faults.latency > 0) await clock.sleep(faultSwitch.faults.latency, signal)
     signal?.throwIfAborted()
@@ -60,19 +60,19 @@
     }
   }
 
-  function read<T> (operation: () => T, signal?: AbortSignal): Promise<Answered<T>> {
+  function read<T> (operation: () => T, signal?: AbortSignal): Promise<WithEpoch<T>> {
     calls.reads += 1
     return answer(operation, signal)
   }
 
-  function write<T> (operation: () => T, signal?: AbortSignal): Promise<Answered<T>> {
+  function write<T> (operation: () => T, signal?: AbortSignal): Promise<WithEpoch<T>> {
     calls.writes += 1
     if (direct.lateBy === 0 || calls.writes % direct.lateEvery !== 0) return answer(operation, signal)
     clock.sleep(direct.lateBy).then(operation).catch(() => {})
     return Promise.reject(failure('no answer in time'))
   }
 
-  async function * watch (prefix: string, fromRevision: number, signal: AbortSignal): AsyncIterable<Answered<readonly KeyValueChange[]>> {
+  async function * watch (prefix: string, fromRevision: number, signal: AbortSignal): AsyncIterable<WithEpoch<readonly KeyValueChange[]>> {
     calls.watches += 1
     await answer(() => {}, signal)
     if (fromRevision > store.revision() + 1) throw new ServingError('the store has no such revision', { code: 'gone', verdict: 'not-run' })
--- a/stand-ins/key-value-store.ts
+++ b/stand-ins/key-value-store.ts
@@ -3,7 +3,7 @@
  * clock, and watchers. No network; the HTTP face and the in-process face both drive it.
  */
 import type { Clock, Milliseconds } from '../src/clock.js'
-import { ONLY_EPOCH } from '../src/protocols/epochs.js'
+import { DEFAULT_EPOCH } from '../src/protocols/epochs.js'
 import { ABSENT } from '../src/protocols/key-value.js'
 import type { KeyValueChange, KeyValueEntry, KeyValueListing, LeaseId, SwapResult } from '../src/protocols/key-value.js'
 
@@ -74,7 +74,7 @@
   const history: KeyValueChange[] = []
   let revision = 1
   let leaseCount = 0
-  let epoch = ONLY_EPOCH
+  let epoch = DEFAULT_EPOCH
 
   function publish (change: KeyValueChange): void {
     history.push(change)
--- a/stand-ins/machines/deployment.ts
+++ b/stand-ins/machines/deployment.ts
@@ -1,5 +1,5 @@
 /** A deployment on the users' machines in one process: store, API, upstreams and gateway nodes. */
-import { createPlatform, machineSettingsSchema } from '../../platform/index.js'
+import { createPlatform, gatewaySettingsSchema } from '../../platform/index.js'
 import { STORE_KEY } from '../../platform/names.js'
 import type { Clock } from '../../src/clock.js'
 import { startGatewayNode } from '../../src/gateway/node.js'
@@ -46,7 +46,7 @@
 
   function settingsOf (name: string): GatewaySettings {
     nodes += 1
-    return machineSettingsSchema.parse({
+    return gatewaySettingsSchema.parse({
       nodeName: name,
       ip: '127.0.0.1',
       zone: 'zone-a',
--- a/stand-ins/machines/metadata-store.ts
+++ b/stand-ins/machines/metadata-store.ts
@@ -45,9 +45,9 @@
     case STORE_PATH.transaction: return transact(store, parseJson(call.body.toString('utf8')) as Transaction)
     case STORE_PATH.lease: return grant(store, parseJson(call.body.toString('utf8')) as { ttlMs: number })
   }
-  if (path.startsWith(STORE_PATH.keepLease) && method === 'POST') return keep(store, path.slice(STORE_PATH.keepLease.length))
-  if (path.startsWith(STORE_PATH.endLease) && method === 'DELETE') {
-    store.revokeLease(path.slice(STORE_PATH.endLease.length))
+  if (path.startsWith(STORE_PATH.renewLease) && method === 'POST') return keep(store, path.slice(STORE_PATH.renewLease.length))
+  if (path.startsWith(STORE_PATH.revokeLease) && method === 'DELETE') {
+    store.revokeLease(path.slice(STORE_PATH.revokeLease.length))
     return {}
   }
   throw new StandInFailure(404, { error: 'no such call' })
--- a/test/gateway/settings-reload.test.ts
+++ b/test/gateway/settings-reload.test.ts
@@ -1,13 +1,13 @@
 /** Reload of settings on a signal and by polling. */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
-import { machineSettingsSchema } from '../../platform/settings.js'
+import { gatewaySettingsSchema } from '../../platform/settings.js'
 import type { GatewaySettings } from '../../src/gateway/settings.js'
 import { watchSettings } from '../../src/gateway/settings-reload.js'
 import { createLog } from '../../src/log.js'
 import { createManualClock } from '../../stand-ins/manual-clock.js'
 
-const settings = (more: object = {}): GatewaySettings => machineSettingsSchema.parse({
+const settings = (more: object = {}): GatewaySettings => gatewaySettingsSchema.parse({
   nodeName: 'n', ip: '127.0.0.1', zone: 'a', zones: { a: 'r', b: 'r' }, internalPorts: [1, 2], listen: { front: '127.0.0.1:1', ready: '127.0.0.1:2' }, limits: { memoryMb: 1, maxFds: 1 }, platform: { address: '127.0.0.1:3' }, ...more
 })
 
--- a/test/platform/platform.test.ts
+++ b/test/platform/platform.test.ts
@@ -1,8 +1,9 @@
+/** Adapters of the platform: store client, headers, records and settings file. */
 import assert from 'node:assert/strict'
 import { afterEach, beforeEach, describe, it } from 'node:test'
 import { createRequestFormat } from '../../platform/format.js'
 import { createRegistry } from '../../platform/registry.js'
-import { machineSettingsSchema } from '../../platform/settings.js'
+import { gatewaySettingsSchema } from '../../platform/settings.js'
 import { createStore } from '../../platform/store.js'
 import { createSystemClock } from '../../src/clock.js'
 import { createConnections } from '../../src/protocols/http.js'
@@ -15,7 +16,7 @@
 import { serveMetadataStore } from '../../stand-ins/machines/metadata-store.js'
 import type { MetadataStoreStandIn } from '../../stand-ins/machines/metadata-store.js'
 
-describe('the metadata store behind the product\'s interface', () => {
+describe('the client of the metadata store', () => {
   let server: MetadataStoreStandIn
   let connections: Connections
   let store: KeyValue
@@ -31,7 +32,7 @@
     await server.kill()
   })
 
-  it('reads, writes and swaps under a condition', async () => {
+  it('reads, writes, and swaps and deletes on a condition', async () => {
     assert.equal(await store.get('a'), undefined)
     const created = await store.compareAndSwap('a', ABSENT, 'café')
     assert.equal(created.kind, 'swapped')
@@ -51,7 +52,7 @@
     assert.equal(revision, server.store.revision())
   })
 
-  it('watches from a revision and goes on', async () => {
+  it('watches from a revision and continues after each change', async () => {
     const { revision } = await store.list('p/')
     const ending = new AbortController()
     const seen: string[] = []
@@ -65,7 +66,7 @@
     assert.deepEqual(seen, ['before', 'after', 'deleted p/1'])
   })
 
-  it('keeps keys for as long as their lease, and says when it is gone', async () => {
+  it('keeps keys for as long as their lease, and reports an ended lease', async () => {
     const lease = await store.grantLease(60_000)
     await store.put('leased', 'x', { lease })
     assert.ok(await store.keepAlive(lease) > 0)
@@ -74,19 +75,19 @@
     assert.equal(await store.keepAlive(lease), 0)
   })
 
-  it('tells of a return from a copy once, before the answer that names it is used', async () => {
+  it('reports a restore from a backup once, before the answer that carries the new epoch is used', async () => {
     const backup = server.store.backUp()
-    const told: string[] = []
-    store.epochs.onRestore(({ before, epoch }) => told.push(`${before} to ${epoch}`))
+    const restores: string[] = []
+    store.epochs.onRestore(({ before, epoch }) => restores.push(`${before} to ${epoch}`))
     await store.put('a', 'x')
-    assert.deepEqual(told, [])
+    assert.deepEqual(restores, [])
     server.store.restore(backup)
-    assert.equal(await store.get('a').then((entry) => `${entry?.value} after ${told.join()}`), 'undefined after 0 to 1')
+    assert.equal(await store.get('a').then((entry) => `${entry?.value} after ${restores.join()}`), 'undefined after 0 to 1')
     await store.get('a')
-    assert.deepEqual(told, ['0 to 1'])
+    assert.deepEqual(restores, ['0 to 1'])
   })
 
-  it('tells a refused call from one whose answer is lost', async () => {
+  it('distinguishes a refused call from a call whose answer is lost', async () => {
     server.faultSwitch.faults.down = true
     await assert.rejects(store.put('a', 'x'), (error: ServingError) => error.verdict === 'not-run')
     server.faultSwitch.faults.down = false
@@ -98,18 +99,18 @@
 })
 
 describe('headers of a request', () => {
-  it('go on to an upstream but for those of one connection and those that only the system sets', () => {
+  it('are forwarded to an upstream except hop-by-hop headers and those that only the system sets', () => {
     const raw = ['Host', 'a.example', 'Connection', 'X-Private, Host', 'X-Private', '1', 'X-Other', '2', 'Api-Key', 'k', 'Transfer-Encoding', 'chunked', 'X-Hornbeamgap-Tenant', 'forged', 'Kv-Fetch', '1.2.3.4:5']
     const headers = createRequestFormat().upstreamHeaders(raw, { deadline: 1_234.5, upstream: 'i-1', organisation: undefined, urgency: undefined, memory: undefined, lastEvent: '7' })
     assert.deepEqual(headers, ['Host', 'a.example', 'X-Other', '2', 'x-hornbeamgap-deadline-ms', '1234', 'x-hornbeamgap-expect-instance', 'i-1', 'last-event-id', '7'])
   })
 
-  it('are read into what they say, and malformed ones into nothing', () => {
+  it('are parsed, and malformed ones are ignored', () => {
     const { readRequest } = createRequestFormat()
     const head = readRequest({ 'x-hornbeamgap-token-usage': '1460,80', 'x-hornbeamgap-prompt-prefix': '5c1e07a2:800, 91bd3f06:410', 'x-hornbeamgap-deadline-ms': '15000' })
     assert.deepEqual([head.tokens, head.parts.length, head.deadline, head.id], [{ prompt: 1_460, generated: 80 }, 2, 15_000, undefined])
-    const odd = readRequest({ 'x-hornbeamgap-token-usage': '1460', 'x-hornbeamgap-prompt-prefix': 'zz:1,aa:2', 'x-hornbeamgap-deadline-ms': '-1' })
-    assert.deepEqual([odd.tokens, odd.parts, odd.deadline], [undefined, [], undefined])
+    const malformed = readRequest({ 'x-hornbeamgap-token-usage': '1460', 'x-hornbeamgap-prompt-prefix': 'zz:1,aa:2', 'x-hornbeamgap-deadline-ms': '-1' })
+    assert.deepEqual([malformed.tokens, malformed.parts, malformed.deadline], [undefined, [], undefined])
   })
 })
 
@@ -117,12 +118,12 @@
   const signalsOf = (status: number, headers: Record<string, string>): unknown => createRequestFormat().readAnswer(headers, status).signals
   const nothing = { leaving: false, rateLimit: undefined, retryAfter: undefined }
 
-  it('say what the upstream asks of its callers', () => {
+  it('carry the upstream\'s signals to its callers', () => {
     assert.deepEqual(signalsOf(200, { 'server-limit': '1.5', 'server-leaving': '1' }), { ...nothing, leaving: true, rateLimit: 1.5 })
     assert.deepEqual(signalsOf(503, { 'retry-after': '0.25' }), { ...nothing, retryAfter: 250 })
   })
 
-  it('say nothing where they are unreadable, or where the request was not turned away', () => {
+  it('carry no signal if they are malformed, or if the request was not rejected', () => {
     assert.deepEqual(signalsOf(200, { 'server-limit': 'few', 'server-leaving': '0', 'retry-after': '3' }), nothing)
     assert.deepEqual(signalsOf(503, { 'server-limit': '-1', 'retry-after': 'Thu, 01 Jan 2026 00:00:00 GMT' }), nothing)
   })
@@ -131,7 +132,7 @@
 describe('records of the operator and of upstreams', () => {
   const registry = createRegistry()
 
-  it('are read into the product\'s own terms, with what they leave out', () => {
+  it('are converted into the gateway\'s types, with defaults for missing values', () => {
     const read = registry.readConfiguration(JSON.stringify({
       version: 7,
       routes: [{ name: 'r', host: 'A.example', prefix: '/p/', kind: 'streaming', timeoutMs: 3_000, targetLatencyMs: 800, targetGapMs: 500, service: 's', unheardOf: 1 }],
@@ -146,12 +147,12 @@
     assert.equal(read.limits.headerBytes, 16_384)
   })
 
-  it('are refused when they make no sense', () => {
+  it('are rejected if they are invalid', () => {
     assert.throws(() => registry.readConfiguration('{'))
     assert.throws(() => registry.readConfiguration('{"version":"1","routes":[],"services":[]}'))
   })
 
-  it('say of an upstream whether it leaves, and which of its lives they are about', () => {
+  it('state whether an upstream is leaving, and which incarnation of the upstream they describe', () => {
     const read = (state: string, more: object = {}) => {
       const reading = registry.readUpstream('i', JSON.stringify({ service: 's', address: '1.2.3.4:5', zone: 'z', state, spot: true, leaves_ms: 2_000, ...more }))
       assert.ok(reading.kind === 'usable')
@@ -163,17 +164,17 @@
     assert.notEqual(read('ready', { born: 1 }).incarnation, read('ready', { born: 2 }).incarnation)
   })
 
-  // Questions go to an address where nothing listens, or plans are moved away from an engine that runs well:
-  // something else has written over the engine's record, and what can be read of it was believed.
-  it('name no upstream to use where another writer has spoilt them', () => {
+  // Guards against requests to an address where nothing listens, and against moving runs away from a healthy engine: another
+  // writer has overwritten the engine's record, and the readable part of the record was used.
+  it('are unusable if another writer has corrupted them', () => {
     const good = { service: 's', address: '1.2.3.4:5', zone: 'z', slots: 64, state: 'ready', born: 1_790_000_000_000 }
-    const spoilt = [
+    const malformed = [
       '', '{', 'null', '[]', '"ready"', '\uFFFD\uFFFD', JSON.stringify({ ...good, born: '1' }), JSON.stringify({ ...good, born: 1.5 }),
       ...(['service', 'address', 'zone', 'state'] as const).flatMap((field) => [JSON.stringify({ ...good, [field]: undefined }), JSON.stringify({ ...good, [field]: 7 }), JSON.stringify({ ...good, [field]: '' })]),
       JSON.stringify({ ...good, state: 'other' }), JSON.stringify({ ...good, address: 'nowhere' }), JSON.stringify({ ...good, slots: '64' }), JSON.stringify({ ...good, slots: -1 }), JSON.stringify({ ...good, spot: 'yes' })
     ]
     assert.equal(registry.readUpstream('i', JSON.stringify(good)).kind, 'usable')
-    for (const value of spoilt) assert.equal(registry.readUpstream('i', value).kind, 'unusable', value)
+    for (const value of malformed) assert.equal(registry.readUpstream('i', value).kind, 'unusable', value)
     for (const id of ['', 'a b', 'a\r\nx: y', 'é']) assert.equal(registry.readUpstream(id, JSON.stringify(good)).kind, 'unusable', id)
   })
 })
@@ -195,15 +196,15 @@
 address = "10.200.1.7:8361"
 `
 
-  it('is read with defaults for what it leaves out', () => {
-    const settings = parseSettings(machineSettingsSchema, text, 'boot.toml')
+  it('is parsed with defaults for missing values', () => {
+    const settings = parseSettings(gatewaySettingsSchema, text, 'boot.toml')
     assert.deepEqual(settings.front, { host: '10.1.0.16', port: 8360 })
     assert.deepEqual([settings.firstStart, settings.bounds.grace, settings.cloud], [false, 8_000, undefined])
-    assert.deepEqual(settings.failureDomains, ['a'], 'orders go at least to the domain of this node')
+    assert.deepEqual(settings.failureDomains, ['a'], 'the failure domain of this node is used if the file names none')
   })
 
-  it('names the key that is missing or wrong', () => {
-    const read = (from: string, to: string) => () => parseSettings(machineSettingsSchema, text.replace(from, to), 'boot.toml')
+  it('is rejected with the name of the missing or invalid key', () => {
+    const read = (from: string, to: string) => () => parseSettings(gatewaySettingsSchema, text.replace(from, to), 'boot.toml')
     assert.throws(read('nodeName = "front-a-1"', ''), /boot\.toml: nodeName: /)
     assert.throws(read('"10.1.0.16:8360"', '"10.1.0.16"'), /listen\.front: must be an IP number and a port/)
     assert.throws(read('maxFds = 4100', 'maxFds = "many"'), /limits\.maxFds: /)
--- a/test/platform/silent-connections.test.ts
+++ b/test/platform/silent-connections.test.ts
@@ -1,4 +1,4 @@
-/** The store behind connections that fall silent, met through the adapter. */
+/** Store client on connections that stop transferring data without an error. */
 import assert from 'node:assert/strict'
 import { connect, createServer } from 'node:net'
 import type { AddressInfo, Server, Socket } from 'node:net'
@@ -11,14 +11,14 @@
 import { serveMetadataStore } from '../../stand-ins/machines/metadata-store.js'
 import type { MetadataStoreStandIn } from '../../stand-ins/machines/metadata-store.js'
 
-/** Passes bytes on until the connections that are open are silenced; new ones work. */
-interface Forgetful {
+/** Forwards bytes to the store. Open connections can be made to transfer nothing more, while new ones work. */
+interface SilencingProxy {
   readonly address: string
-  silence (): void
+  silenceOpenConnections (): void
   close (): Promise<void>
 }
 
-async function serveForgetful (target: string): Promise<Forgetful> {
+async function serveSilencingProxy (target: string): Promise<SilencingProxy> {
   const open = new Set<Socket>()
   const [host, port] = target.split(':')
   const server: Server = createServer((caller) => {
@@ -34,7 +34,7 @@
   await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
   return {
     address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
-    silence: () => { for (const socket of open) socket.unpipe() },
+    silenceOpenConnections: () => { for (const socket of open) socket.unpipe() },
     close: async () => {
       for (const socket of open) socket.destroy()
       await new Promise((resolve) => server.close(resolve))
@@ -42,32 +42,32 @@
   }
 }
 
-describe('the store', () => {
+describe('the store client', () => {
   const clock = createSystemClock()
-  let stand: MetadataStoreStandIn
-  let forgetful: Forgetful
+  let storeServer: MetadataStoreStandIn
+  let proxy: SilencingProxy
   let connections: Connections
 
   before(async () => {
-    stand = await serveMetadataStore(clock, createRandom(1))
-    forgetful = await serveForgetful(stand.address)
+    storeServer = await serveMetadataStore(clock, createRandom(1))
+    proxy = await serveSilencingProxy(storeServer.address)
     connections = createFreshConnections(4)
   })
 
   after(async () => {
     await connections.destroy()
-    await forgetful.close()
-    await stand.kill()
+    await proxy.close()
+    await storeServer.kill()
   })
 
-  // A change of the configuration is in force at no node for five seconds. All open connections had fallen
-  // silent; each call took one of them, waited for its bound, and the next call took another such one.
-  it('answers the first call after all open connections have fallen silent', async () => {
-    const store = createStore(connections, () => forgetful.address)
-    stand.store.put('op/config', 'first')
+  // Guards against a configuration change that takes effect only after five seconds: the network has dropped the state of all
+  // open connections. Each call uses one of them and times out, and the next call uses another one.
+  it('gets an answer to the first call after all open connections have gone silent', async () => {
+    const store = createStore(connections, () => proxy.address)
+    storeServer.store.put('op/config', 'first')
     assert.deepEqual(await Promise.all([store.get('op/config'), store.get('op/config')].map(async (entry) => (await entry)?.value)), ['first', 'first'])
-    forgetful.silence()
-    stand.store.put('op/config', 'second')
+    proxy.silenceOpenConnections()
+    storeServer.store.put('op/config', 'second')
     assert.equal((await store.get('op/config'))?.value, 'second')
   })
 })
--- a/test/protocols/cloud.test.ts
+++ b/test/protocols/cloud.test.ts
@@ -1,4 +1,4 @@
-/** The cloud's client against its stand-in: idempotent orders, refusals, notices, lost replies. */
+/** Client of the cloud's API against a stand-in: idempotent orders, refusals, notices and lost replies. */
 import assert from 'node:assert/strict'
 import { after, before, test } from 'node:test'
 import { offerSchema, startOrderSchema } from '../../src/capacity/index.js'
@@ -29,9 +29,9 @@
   await standIn.kill()
 })
 
-// A bill shows one machine twice: the reply to a start order was lost after the machine had been
-// started, and the order was sent again. The name makes the second order find the first machine.
-test('an order whose reply was lost buys once when it is sent again', async () => {
+// Guards against starting two instances for one order: the reply to the order is lost after the instance was started, and the
+// order is repeated. The name of the order identifies the instance that is already running.
+test('a repeated order whose first reply was lost starts one instance', async () => {
   standIn.faultSwitch.faults.lostReplies = 1
   await assert.rejects(cloud.start(orderNamed('assistant-1')), { verdict: 'may-have-run' })
   standIn.faultSwitch.faults.lostReplies = 0
@@ -39,20 +39,20 @@
   assert.equal(standIn.state.bought().length, 1)
 })
 
-// A machine that was given back runs again and nobody knows of it: a paused planner's start order
-// arrives after its successor released the name.
+// Guards against an instance that runs unnoticed: the start order of a paused planner arrives after its successor has released
+// the name.
 test('a start order that arrives after the release of its name starts nothing', async () => {
   await cloud.release(orderNamed('assistant-2').name)
   assert.deepEqual(await cloud.start(orderNamed('assistant-2')), { kind: 'ended' })
 })
 
-test('a refusal is an answer', async () => {
+test('a refused order resolves instead of rejecting', async () => {
   standIn.state.limit(OFFER, 0)
   assert.equal((await cloud.start(orderNamed('assistant-3'))).kind, 'refused')
   standIn.state.limit(OFFER, undefined)
 })
 
-test('notices are read once each, oldest first, with the time that is left', async () => {
+test('each notice is read once, oldest first, with the remaining time', async () => {
   standIn.state.reclaimDomain(failureDomainSchema.parse('zone-a'), 5_000)
   await clock.advance(1_000)
   const page = await cloud.notices(0)
--- a/test/protocols/key-value.test.ts
+++ b/test/protocols/key-value.test.ts
@@ -1,4 +1,4 @@
-/** The client of the key-value service over HTTP. */
+/** HTTP client of the key-value service. */
 import assert from 'node:assert/strict'
 import { subscribe, unsubscribe } from 'node:diagnostics_channel'
 import { test } from 'node:test'
@@ -9,10 +9,10 @@
 import { createRandom } from '../../src/random.js'
 import { serveKeyValue } from '../../stand-ins/key-value.js'
 
-/** Channel on which undici tells of each new connection. */
+/** Diagnostics channel on which undici reports each new connection. */
 const CONNECTED = 'undici:client:connected'
 
-test('compare-and-swap, leases and watches go over HTTP as in process', async () => {
+test('compare-and-swap, leases and watches work over HTTP', async () => {
   const service = await serveKeyValue({ port: 0, clock: createSystemClock(), random: createRandom(1) })
   const connections = createConnections(4)
   const fresh = createFreshConnections(4)
@@ -44,9 +44,9 @@
   }
 })
 
-test('a watch is never opened on a connection that was used before', async () => {
-  // Something between the ends has forgotten the pooled connections. The watch goes silent and is given
-  // up after half a minute; opened on another pooled connection it would be silent again, and again.
+test('a watch is never opened on a used connection', async () => {
+  // Guards against a watch that receives nothing for minutes: the network has dropped the state of the pooled connections. The
+  // watch fails after 30 s without a message, and would receive nothing on the next pooled connection either.
   const service = await serveKeyValue({ port: 0, clock: createSystemClock(), random: createRandom(1) })
   const connections = createConnections(4)
   const fresh = createFreshConnections(4)
--- a/test/protocols/key-watch.test.ts
+++ b/test/protocols/key-watch.test.ts
@@ -1,4 +1,4 @@
-/** Following a prefix over watches that break. */
+/** Following a prefix while watches fail. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { followKeys } from '../../src/protocols/key-watch.js'
@@ -9,9 +9,9 @@
 import { createKeyValueStore } from '../../stand-ins/key-value-store.js'
 import { createManualClock } from '../../stand-ins/manual-clock.js'
 
-test('nothing that changes while a watch is broken is missed', async () => {
-  // The connection of a watch goes silent and is given up. Changes of the meantime would never be seen
-  // if the new watch began with the present: it begins with a read.
+test('changes during a failed watch are not missed', async () => {
+  // Guards against missed changes: a watch fails after an idle time, and a new watch from the latest revision would skip the
+  // changes in between. The prefix is therefore read again before the new watch.
   const clock = createManualClock()
   const store = createKeyValueStore(clock)
   const keyValue = createDirectKeyValue(store, createFaultSwitch(clock, createRandom(1)), clock)
--- a/test/protocols/lease-keeper.test.ts
+++ b/test/protocols/lease-manager.test.ts
@@ -1,10 +1,10 @@
-/** The planners' lease: one holder at a time by any clock, whatever is lost, late or paused. */
+/** The planners' lease has at most one holder at a time, even if replies are lost, writes are late or processes are paused. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
 import type { Clock } from '../../src/clock.js'
 import { incarnationSchema } from '../../src/identifiers.js'
-import { createLeaseKeeper, LEASE_TIME, PLANNER_KEY } from '../../src/protocols/lease-keeper.js'
+import { createLeaseManager, PLANNER_LEASE_TIME, PLANNER_LEASE_KEY } from '../../src/protocols/lease-manager.js'
 import { createRandom } from '../../src/random.js'
 import { createFaultSwitch } from '../../stand-ins/faults.js'
 import { reachedUnless } from '../../stand-ins/key-value-cut.js'
@@ -15,7 +15,7 @@
 
 const LOG = { info: () => {}, warn: () => {}, error: () => {} }
 
-function createWorld (seed: number) {
+function createTestEnvironment (seed: number) {
   const clock = createManualClock()
   const store = createKeyValueStore(clock)
   const faultSwitch = createFaultSwitch(clock, createRandom(seed))
@@ -23,7 +23,7 @@
   const keyValue = createDirectKeyValue(store, faultSwitch, clock)
   const owner = new AbortController()
   const cutOff = new Set<number>()
-  const planner = (number: number, ownClock: Clock = clock) => createLeaseKeeper({
+  const planner = (number: number, ownClock: Clock = clock) => createLeaseManager({
     keyValue: reachedUnless(keyValue, () => cutOff.has(number)),
     clock: ownClock,
     random: createRandom(seed + number),
@@ -34,8 +34,8 @@
   return { clock, store, faultSwitch, keyValue, planner, cutOff, stop: () => owner.abort() }
 }
 
-/** A clock whose time goes on while its process is paused: nothing of it runs until the pause ends. */
-function pausable (clock: ManualClock): { clock: Clock, pause: (duration: number) => void } {
+/** A clock of a process that can be paused. Its time goes on during a pause, but its sleeps end only after the pause. */
+function createPausableClock (clock: ManualClock): { clock: Clock, pause: (duration: number) => void } {
   let pausedUntil = 0
   const sleep: Clock['sleep'] = async (delay, signal) => {
     await clock.sleep(delay, signal)
@@ -44,13 +44,13 @@
   return { clock: { ...clock, sleep }, pause: (duration) => { pausedUntil = clock.now() + duration } }
 }
 
-test('never two holders at once, and each later one has a higher fencing number', async () => {
-  // Planners take and lose the lease while replies are lost, writes arrive late and the service goes
-  // down. Two of them hold it at the same time and give contradicting orders, or a later holder's
-  // orders are fenced off by an earlier one's number.
+test('there are never two holders at once, and each new holder has a higher fencing number', async () => {
+  // Planners acquire and lose the lease while replies are lost, writes arrive late and the service is unavailable.
+  // Guards against two holders that give contradicting orders, and against a new holder whose orders are rejected because
+  // an earlier holder had a higher fencing number.
   const step = fc.record({ wait: fc.integer({ min: 100, max: 9_000 }), lostReplies: fc.constantFrom(0, 0.3, 0.8), down: fc.boolean(), lateBy: fc.constantFrom(0, 1_500, 6_000), cut: fc.subarray([1, 2, 3]) })
   await fc.assert(fc.asyncProperty(fc.nat(), fc.array(step, { minLength: 5, maxLength: 20 }), async (seed, steps) => {
-    const { clock, faultSwitch, keyValue, planner, cutOff, stop } = createWorld(seed)
+    const { clock, faultSwitch, keyValue, planner, cutOff, stop } = createTestEnvironment(seed)
     const planners = [planner(1), planner(2), planner(3)]
     let latest = { fencing: 0, holder: -1 }
     for (const { wait, lostReplies, down, lateBy, cut } of steps) {
@@ -60,8 +60,8 @@
       Object.assign(keyValue.direct, { lateBy, lateEvery: 2 })
       for (let passed = 0; passed < wait; passed += 500) {
         await clock.advance(500)
-        const holders = planners.flatMap((keeper, index) => keeper.held(0) === undefined ? [] : [{ fencing: keeper.held(0)!.fencing, holder: index }])
-        assert.ok(holders.length <= 1, 'two hold the lease')
+        const holders = planners.flatMap((manager, index) => manager.held(0) === undefined ? [] : [{ fencing: manager.held(0)!.fencing, holder: index }])
+        assert.ok(holders.length <= 1, 'two planners hold the lease')
         const holder = holders[0]
         if (holder === undefined) continue
         assert.ok(holder.holder === latest.holder ? holder.fencing >= latest.fencing : holder.fencing > latest.fencing, 'the fencing number did not rise')
@@ -72,70 +72,71 @@
   }), { seed: 1, numRuns: 60 })
 })
 
-test('a holder that was paused past its lease does not act when it wakes', async () => {
-  // The holder's process stands still for a minute. Its lease lapses, another planner takes over. The
-  // first wakes in the middle of its work and, before it hears from the service, must not act.
-  const { clock, planner, stop } = createWorld(1)
-  const paused = pausable(clock)
-  const first = planner(1, paused.clock)
+test('a holder that was paused beyond its lease time does not act after the pause', async () => {
+  // The holder's process is paused for a minute. Its lease expires and another planner takes over. After the pause, the
+  // former holder must not act before it has reached the service.
+  const { clock, planner, stop } = createTestEnvironment(1)
+  const pausableClock = createPausableClock(clock)
+  const first = planner(1, pausableClock.clock)
   await clock.advance(0)
   await clock.advance(1_000)
   const fencing = first.held(0)?.fencing ?? 0
   const second = planner(2)
-  paused.pause(60_000)
+  pausableClock.pause(60_000)
   await clock.advance(45_000)
   assert.equal(first.held(0), undefined)
   assert.ok((second.held(0)?.fencing ?? 0) > fencing)
   stop()
 })
 
-test('a planner whose reply was lost when it took the lease finds that it holds it', async () => {
-  const { clock, store, keyValue, planner, stop } = createWorld(1)
+test('a planner that lost the reply to its acquisition finds out that it holds the lease', async () => {
+  const { clock, store, keyValue, planner, stop } = createTestEnvironment(1)
   const swap = keyValue.compareAndSwap
   keyValue.compareAndSwap = async (...call) => {
     keyValue.compareAndSwap = swap
     await swap(...call)
     throw new Error('the reply was lost')
   }
-  const keeper = planner(1)
+  const manager = planner(1)
   await clock.advance(0)
-  await clock.advance(LEASE_TIME / 2)
-  assert.equal(keeper.held(0)?.fencing, store.get(PLANNER_KEY)?.revision)
+  await clock.advance(PLANNER_LEASE_TIME / 2)
+  assert.equal(manager.held(0)?.fencing, store.get(PLANNER_LEASE_KEY)?.revision)
   stop()
 })
 
-test('the holder stops before the service can give the lease to another', async () => {
-  // The service goes down right after a renewal. The holder goes on until its own bound; the lease
-  // lapses at the service only after that.
-  const { clock, store, faultSwitch, planner, stop } = createWorld(1)
-  const keeper = planner(1)
+test('the holder stops before another process can acquire the lease', async () => {
+  // The service becomes unavailable right after a renewal. The holder stops by its own clock, and the lease expires at the
+  // service only after that.
+  const { clock, store, faultSwitch, planner, stop } = createTestEnvironment(1)
+  const manager = planner(1)
   await clock.advance(0)
   await clock.advance(20_000)
   faultSwitch.faults.down = true
-  while (keeper.held(0) !== undefined) await clock.advance(10)
-  assert.notEqual(store.get(PLANNER_KEY), undefined)
+  while (manager.held(0) !== undefined) await clock.advance(10)
+  assert.notEqual(store.get(PLANNER_LEASE_KEY), undefined)
   stop()
 })
 
-// The holder dies, its key is seen to vanish, and another takes the lease at once. It slept on until its next look at the
-// key, let the lease lapse, took it again as the key vanished, and so on: each time under another number.
-test('a lease that is taken between two looks is held under one number', async () => {
-  const world = createWorld(1)
-  world.store.put(PLANNER_KEY, 'another')
+// Guards against a lease that changes its fencing number again and again: the key of a former holder is deleted, and a process
+// acquires the lease by `refresh` while its loop sleeps until the next read of the key. The lease expires during the sleep, the
+// deletion of its key triggers the next acquisition, and so on.
+test('a lease that is acquired between two reads of the key keeps its fencing number', async () => {
+  const environment = createTestEnvironment(1)
+  environment.store.put(PLANNER_LEASE_KEY, 'another')
   const owner = new AbortController()
-  const terms = { name: 'duty', key: PLANNER_KEY, time: 3_000, renewal: 1_000, waiting: 15_000 }
-  const lease = createLeaseKeeper({ keyValue: world.keyValue, clock: world.clock, random: createRandom(1), log: LOG, signal: owner.signal, holder: incarnationSchema.parse('node-1'), terms })
-  for (let step = 0; step < 20; step += 1) await world.clock.advance(50)
-  world.store.compareAndDelete(PLANNER_KEY, world.store.get(PLANNER_KEY)!.revision)
+  const terms = { name: 'duty', key: PLANNER_LEASE_KEY, time: 3_000, renewalInterval: 1_000, waiting: 15_000 }
+  const lease = createLeaseManager({ keyValue: environment.keyValue, clock: environment.clock, random: createRandom(1), log: LOG, signal: owner.signal, holder: incarnationSchema.parse('node-1'), terms })
+  for (let step = 0; step < 20; step += 1) await environment.clock.advance(50)
+  environment.store.compareAndDelete(PLANNER_LEASE_KEY, environment.store.get(PLANNER_LEASE_KEY)!.revision)
   const taken = lease.refresh()
-  for (let step = 0; step < 10; step += 1) await world.clock.advance(10)
+  for (let step = 0; step < 10; step += 1) await environment.clock.advance(10)
   await taken
   const first = lease.held(0)?.fencing
   assert.notEqual(first, undefined)
   for (let waited = 0; waited < 20_000; waited += 50) {
-    await world.clock.advance(50)
-    assert.equal(lease.held(0)?.fencing, first, `${waited} ms after it was taken`)
+    await environment.clock.advance(50)
+    assert.equal(lease.held(0)?.fencing, first, `${waited} ms after it was acquired`)
   }
   owner.abort()
-  world.stop()
+  environment.stop()
 })
--- a/test/protocols/restorable-key-value.test.ts
+++ b/test/protocols/restorable-key-value.test.ts
@@ -1,4 +1,4 @@
-/** What revisions, leases and watches of a service mean once it has come back from a backup. */
+/** Revisions, leases and watches from before a restore of the service from a backup. */
 import assert from 'node:assert/strict'
 import { beforeEach, describe, it } from 'node:test'
 import { SECOND } from '../../src/clock.js'
@@ -14,7 +14,7 @@
 import { createManualClock } from '../../stand-ins/manual-clock.js'
 import type { ManualClock } from '../../stand-ins/manual-clock.js'
 
-describe('a key-value service that has come back from a backup', () => {
+describe('a key-value service that was restored from a backup', () => {
   let clock: ManualClock
   let service: KeyValueStore
   let store: DirectKeyValue
@@ -30,8 +30,8 @@
 
   const read = async (key: string): Promise<KeyValueEntry> => (await store.get(key))!
 
-  // Guards against a swap over another value, whose revision is the expected one since it was given out again.
-  it('does not take a revision of before for the same number of now', async () => {
+  // Guards against a swap that overwrites another value because the service has assigned the expected revision again.
+  it('does not accept an earlier revision that was assigned again', async () => {
     await store.put('a', 'lost')
     const { revision } = await read('a')
     service.restore(backup)
@@ -41,15 +41,15 @@
     assert.equal((await read('a')).value, 'of another node')
   })
 
-  // The same where the swap's own answer is the first to tell of the return.
-  it('does not call a swap done that was asked for before and carried out since', async () => {
+  // The same if the answer to the swap is the first to carry the new epoch.
+  it('does not confirm a swap that was requested before the restore and carried out after it', async () => {
     const { revision } = await read('a')
     service.restore(backup)
     await assert.rejects(store.compareAndSwap('a', revision, 'mine'), (error: ServingError) => error.verdict === 'may-have-run')
   })
 
-  // Guards against changes that are taken for older than what was known before the return.
-  it('shows what stands there under higher revisions than before', async () => {
+  // Guards against entries that are considered older than the state known before the restore.
+  it('reports entries with higher revisions than before the restore', async () => {
     for (let index = 0; index < 10; index += 1) await store.put('a', `lost ${index}`)
     const { revision } = await read('a')
     service.restore(backup)
@@ -57,8 +57,8 @@
     assert.ok((await store.list('a')).revision > revision)
   })
 
-  // Guards against a node that keeps another's lease alive while its own record is gone.
-  it('does not renew a lease of before, whose name another has now', async () => {
+  // Guards against a node that renews the lease of another node while its own record is lost.
+  it('does not renew an earlier lease whose id was assigned again', async () => {
     const lease = await store.grantLease(5 * SECOND)
     service.restore(backup)
     const other = createDirectKeyValue(service, createFaultSwitch(clock, createRandom(2)), clock)
@@ -68,8 +68,8 @@
     await assert.rejects(store.compareAndSwap('c', ABSENT, 'leased', { lease }), (error: ServingError) => error.code === 'gone')
   })
 
-  // Guards against a change that is passed over, since the watch waits for a revision beyond it.
-  it('ends watches of before, also those that wait', async () => {
+  // Guards against missed changes, whose revisions are lower than the one that the watch waits for.
+  it('ends earlier watches, including those that wait for changes', async () => {
     for (let index = 0; index < 10; index += 1) await store.put('a', `lost ${index}`)
     const { revision } = await store.list('a')
     const ending = new AbortController()
