--- a/bench/capacity/addresses.ts
+++ b/bench/capacity/addresses.ts
@@ -1,6 +1,6 @@
 /** Address answers as a role: every caller asks for addresses, at worst once for each request. */
 import { organisationNameSchema } from '../../src/identifiers.js'
-import { answerNodes, nodeRecordSchema } from '../../src/membership/index.js'
+import { selectAddressNodes, nodeRecordSchema } from '../../src/membership/index.js'
 import { SIZES } from '../agreement/measure.js'
 import type { CapacityRole } from './role.js'
 
@@ -32,9 +32,9 @@
     leaving: false
   }))
   const organisations = Array.from({ length: ORGANISATIONS }, (_, index) => organisationNameSchema.parse(`organisation-${index}`))
-  for (const organisation of organisations) answerNodes(organisation, nodes)
+  for (const organisation of organisations) selectAddressNodes(organisation, nodes)
   const before = process.cpuUsage()
-  for (let index = 0; index < ANSWERS; index += 1) answerNodes(organisations[index % ORGANISATIONS] ?? organisations[0]!, nodes)
+  for (let index = 0; index < ANSWERS; index += 1) selectAddressNodes(organisations[index % ORGANISATIONS] ?? organisations[0]!, nodes)
   const used = process.cpuUsage(before)
   return (used.user + used.system) / ANSWERS
 }
--- a/bench/partial-view.ts
+++ b/bench/partial-view.ts
@@ -37,7 +37,7 @@
       warmup: 20 * SECOND,
       duration: 40 * SECOND,
       factor: (classMix) => classMix === long || classMix === short ? load : 0,
-      createPolicy: (random, node) => createScheduler({ random, node, largestView: view })
+      createPolicy: (random, node) => createScheduler({ random, node, maxViewSize: view })
     })
     const shares = [short, long].map((classMix) => percent(shareOf(measures, classMix?.name, 'in-target')))
     return [load, view === chosen ? `${view} (chosen)` : view, rounded(nodesPerUpstream(NODES, view, ENGINES)), rounded(tokenGoodput(measures), 0), ...shares, percent(measures.computedTokens / measures.promptTokens)]
--- a/src/admission/class-state.ts
+++ b/src/admission/class-state.ts
@@ -1,4 +1,4 @@
-/** What one node learns about a class of work: how long its answers are and how often it is refused. */
+/** Statistics of a request class at one node: lengths of its answers and rate of its refusals. */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { RequestClass, Target } from '../configuration/index.js'
@@ -6,56 +6,63 @@
 import type { AttemptDemand, ExpectedAnswer } from '../upstream/index.js'
 import type { PendingAttempt } from './types.js'
 
-/** One class as the scheduler sees it. */
+/** State of one request class. */
 export interface ClassState {
   readonly requestClass: RequestClass
-  /** What an attempt is expected to ask of an upstream. */
+  /** Resources that an attempt is expected to need of an upstream. */
   demandOf (attempt: PendingAttempt): AttemptDemand
-  /** Longest time that an attempt may wait for its dispatch and still be likely to meet the target. */
-  patience (expected: ExpectedAnswer): Milliseconds
-  /** Whether an answer that ends now meets the targets of its first token and its whole. */
+  /** Maximum time that an attempt may wait for its dispatch and still be likely to meet the target. */
+  maxWait (expected: ExpectedAnswer): Milliseconds
+  /** Whether an answer that ends now meets the targets for the first token and for the whole answer. */
   inTime (attempt: PendingAttempt, firstTokenAt: Milliseconds | undefined, now: Milliseconds): boolean
+  /** Records the length of a complete answer. */
   answered (maxTokens: number, generatedTokens: number): void
+  /** Records a dispatch. */
   dispatched (): void
+  /** Records a refusal. */
   refused (): void
-  /** Whether the class has been refused more often than its reliability allows. */
-  exhausted (): boolean
+  /** Whether one more refusal would exceed the share that the reliability target of the class allows. */
+  isRefusalBudgetExhausted (): boolean
 }
 
-/** A class whose attempts can wait no longer than this needs free places. */
-const URGENT_PATIENCE: Milliseconds = 2 * SECOND
+/** Attempts of a class are urgent if they can wait less than this. Slots are reserved for them. */
+const URGENT_MAX_WAIT: Milliseconds = 2 * SECOND
 
 /**
- * Failure guarded against: a wrong estimate, say after a cold start, that no target can be met would
- * refuse a class for good and nothing new would ever be learnt. A part of the target is always left
- * for waiting.
+ * Minimum share of the target that remains for waiting.
+ *
+ * Failure guarded against: after a cold start, for example, the estimate may say that no attempt can meet the target.
+ * All attempts of the class would then be refused, and the estimate would never be corrected.
  */
-const LEAST_PATIENCE_SHARE = 0.1
+const MIN_WAIT_SHARE = 0.1
 
-/** Attempts over which refusals are counted. */
-const MEMORY = 400
+/** Number of attempts over which the share of refusals is measured. */
+const REFUSAL_WINDOW = 400
 
-const TYPICAL_SHARE_STEP = 0.05
+/** Weight of one answer in the mean length. */
+const MEAN_LENGTH_STEP = 0.05
 
-/** Share of the largest answer that is generated, before any was seen. */
-const PRIOR_LENGTH = 0.8
+/** Assumed length of an answer as a share of its maximum, before any was observed. */
+const INITIAL_LENGTH = 0.8
 
 /**
+ * Creates the state of a class without observations.
+ *
  * @example
  * const state = createClassState(requestClass)
- * const patience = state.patience(fleet.expect(state.demandOf(attempt)))
+ * const maxWait = state.maxWait(fleet.expect(state.demandOf(attempt)))
  */
 export function createClassState (requestClass: RequestClass): ClassState {
   const { target } = requestClass
-  const longLength = createQuantileEstimate(0.9, PRIOR_LENGTH)
-  let meanLength = PRIOR_LENGTH
-  let decided = 0
+  const lengthQuantile = createQuantileEstimate(0.9, INITIAL_LENGTH)
+  let meanLength = INITIAL_LENGTH
+  let decisions = 0
   let refusals = 0
-  let urgent = wait(target, { firstToken: 0, whole: 0 }) < URGENT_PATIENCE
+  let urgent = waitBudget(target, { firstToken: 0, whole: 0 }) < URGENT_MAX_WAIT
 
-  function decide (refused: number): void {
-    const keep = 1 - 1 / MEMORY
-    decided = decided * keep + 1
+  function recordDecision (refused: number): void {
+    const keep = 1 - 1 / REFUSAL_WINDOW
+    decisions = decisions * keep + 1
     refusals = refusals * keep + refused
   }
 
@@ -73,11 +80,11 @@
       probe: requestClass.idempotent && !attempt.accepted && !attempt.apart,
       accepted: attempt.accepted
     }),
-    patience: (expected) => {
-      const tail = { firstToken: expected.firstToken, whole: expected.whole * longLength.value() / Math.max(meanLength, 0.01) }
-      const longest = wait(target, tail)
-      urgent = longest < URGENT_PATIENCE
-      return longest
+    maxWait: (expected) => {
+      const tail = { firstToken: expected.firstToken, whole: expected.whole * lengthQuantile.value() / Math.max(meanLength, 0.01) }
+      const wait = waitBudget(target, tail)
+      urgent = wait < URGENT_MAX_WAIT
+      return wait
     },
     inTime: (attempt, firstTokenAt, now) => {
       const firstToken = attempt.tokensSoFar > 0 ? 0 : (firstTokenAt ?? now) - attempt.arrivedAt
@@ -85,21 +92,23 @@
     },
     answered: (maxTokens, generatedTokens) => {
       const length = Math.min(1, generatedTokens / Math.max(1, maxTokens))
-      meanLength += TYPICAL_SHARE_STEP * (length - meanLength)
-      longLength.observe(length)
+      meanLength += MEAN_LENGTH_STEP * (length - meanLength)
+      lengthQuantile.observe(length)
     },
-    dispatched: () => decide(0),
-    refused: () => decide(1),
-    exhausted: () => refusals + 1 > (decided + 1) * (1 - target.reliability)
+    dispatched: () => recordDecision(0),
+    refused: () => recordDecision(1),
+    isRefusalBudgetExhausted: () => refusals + 1 > (decisions + 1) * (1 - target.reliability)
   }
 }
 
-function wait (target: Target, expected: ExpectedAnswer): Milliseconds {
-  const untilWhole = left(target.whole_answer_ms, expected.whole)
-  if (target.first_token_ms === undefined) return untilWhole
-  return Math.min(untilWhole, left(target.first_token_ms, expected.firstToken))
+/** Time that remains for waiting under both targets. */
+function waitBudget (target: Target, expected: ExpectedAnswer): Milliseconds {
+  const wholeBudget = remainingTime(target.whole_answer_ms, expected.whole)
+  if (target.first_token_ms === undefined) return wholeBudget
+  return Math.min(wholeBudget, remainingTime(target.first_token_ms, expected.firstToken))
 }
 
-function left (target: Milliseconds, expected: Milliseconds): Milliseconds {
-  return Math.max(target - expected, target * LEAST_PATIENCE_SHARE)
+/** Time left until the target after an answer of the expected duration. */
+function remainingTime (target: Milliseconds, expected: Milliseconds): Milliseconds {
+  return Math.max(target - expected, target * MIN_WAIT_SHARE)
 }
--- a/src/admission/decayed-rate.ts
+++ b/src/admission/decayed-rate.ts
@@ -1,16 +1,20 @@
-/** A rate over the recent past, forgotten exponentially, in constant memory. */
+/** Rate over the recent past with exponential decay, in constant memory. */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 
-/** A rate of something that is added in amounts. */
+/** Measures the rate of amounts that are added over time. */
 export interface DecayedRate {
   add (amount: number, now: Milliseconds): void
+  /** Amount per millisecond. */
   perMillisecond (now: Milliseconds): number
 }
 
-const MEMORY: Milliseconds = 5 * SECOND
+/** Time constant of the decay. */
+const TIME_CONSTANT: Milliseconds = 5 * SECOND
 
 /**
+ * Creates a rate of 0.
+ *
  * @example
  * const demand = createDecayedRate()
  * demand.add(work, now)
@@ -21,7 +25,7 @@
   let at: Milliseconds = 0
 
   function decay (now: Milliseconds): void {
-    sum *= Math.exp((at - now) / MEMORY)
+    sum *= Math.exp((at - now) / TIME_CONSTANT)
     at = now
   }
 
@@ -32,7 +36,7 @@
     },
     perMillisecond: (now) => {
       decay(now)
-      return sum / MEMORY
+      return sum / TIME_CONSTANT
     }
   }
 }
--- a/src/admission/fair-share.ts
+++ b/src/admission/fair-share.ts
@@ -1,31 +1,36 @@
 /**
- * What each organisation and class had of a service lately at one node, in expected work rather than
- * requests, with slow forgetting. Whoever had least comes first when not all can be served; what was
- * used long ago, or while nobody else wanted it, is not held against anybody.
+ * Recent use of a service by organisation and class at one node, measured in expected work rather than requests.
+ *
+ * Use decays over time. Under overload the organisations with the lowest recent use are served first. Use that lies
+ * further back, for example while there was spare capacity, no longer counts.
  */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { ClassName, OrganisationName } from '../identifiers.js'
 
-/** Use of one service. */
+/** Recent use of one service. */
 export interface FairShare {
-  /** @param work expected, in milliseconds of one upstream */
+  /**
+   * Adds the work of an admitted attempt.
+   *
+   * @param work expected work, in milliseconds of one upstream
+   */
   admitted (organisation: OrganisationName, requestClass: ClassName, work: number, now: Milliseconds): void
-  /** Takes back what was admitted but never dispatched. */
+  /** Subtracts the work of an attempt that was admitted but never dispatched. */
   returned (organisation: OrganisationName, requestClass: ClassName, work: number, now: Milliseconds): void
-  /** Work of an organisation lately. */
+  /** Recent work of an organisation. */
   ofOrganisation (organisation: OrganisationName, now: Milliseconds): number
-  /** Work of one class of an organisation lately. */
+  /** Recent work of one class of an organisation. */
   ofClass (organisation: OrganisationName, requestClass: ClassName, now: Milliseconds): number
-  /** An organisation's use over that of the mean, 1 for an equal share. */
+  /** Recent work of an organisation relative to the mean of all organisations. 1 is an equal share. */
   relative (organisation: OrganisationName, now: Milliseconds): number
 }
 
-/** Use is forgotten with this time constant. */
-const MEMORY: Milliseconds = 30 * SECOND
+/** Time constant of the decay. */
+const TIME_CONSTANT: Milliseconds = 30 * SECOND
 
-/** Less work than this is forgotten altogether. */
-const NOTHING = 0.5
+/** Organisations with less recent work than this are removed. In milliseconds of one upstream. */
+const NEGLIGIBLE_WORK = 0.5
 
 interface Use {
   work: number
@@ -37,6 +42,8 @@
 }
 
 /**
+ * Creates an empty record of use.
+ *
  * @example
  * const shares = createFairShare()
  * shares.admitted(organisation, requestClass, work, now)
@@ -49,7 +56,7 @@
   function useOf (organisation: OrganisationName, now: Milliseconds): OrganisationUse {
     const known = organisations.get(organisation)
     if (known !== undefined) return known
-    forgetIdle(now)
+    removeIdle(now)
     const created = { work: 0, at: now, classes: new Map<ClassName, Use>() }
     organisations.set(organisation, created)
     return created
@@ -61,16 +68,16 @@
     return known
   }
 
-  /** Runs when an organisation appears, so that those that went do not pile up. */
-  function forgetIdle (now: Milliseconds): void {
-    for (const [name, use] of organisations) if (workOf(use, now) < NOTHING) organisations.delete(name)
+  /** Called when a new organisation appears, so that inactive ones do not accumulate. */
+  function removeIdle (now: Milliseconds): void {
+    for (const [name, use] of organisations) if (workOf(use, now) < NEGLIGIBLE_WORK) organisations.delete(name)
   }
 
   function add (organisation: OrganisationName, requestClass: ClassName, work: number, now: Milliseconds): void {
     const use = useOf(organisation, now)
-    change(total, work, now)
-    change(use, work, now)
-    change(classUseOf(use, requestClass, now), work, now)
+    addWork(total, work, now)
+    addWork(use, work, now)
+    addWork(classUseOf(use, requestClass, now), work, now)
   }
 
   return {
@@ -86,10 +93,10 @@
 }
 
 function workOf (use: Use | undefined, now: Milliseconds): number {
-  return use === undefined ? 0 : use.work * Math.exp((use.at - now) / MEMORY)
+  return use === undefined ? 0 : use.work * Math.exp((use.at - now) / TIME_CONSTANT)
 }
 
-function change (use: Use, work: number, now: Milliseconds): void {
+function addWork (use: Use, work: number, now: Milliseconds): void {
   use.work = Math.max(0, workOf(use, now) + work)
   use.at = now
 }
--- a/src/admission/index.ts
+++ b/src/admission/index.ts
@@ -1,3 +1,3 @@
-/** Admission: order, limits and refusal under load. */
+/** Admission control of one node: order of waiting attempts, choice of the upstream, and refusal under overload. */
 export type { AttemptResult, PendingAttempt, Scheduler, SchedulerEffect, SchedulerEvent } from './types.js'
 export { createScheduler } from './scheduler.js'
--- a/src/admission/retry-after.ts
+++ b/src/admission/retry-after.ts
@@ -1,23 +1,25 @@
-/** When a refused caller is told to come again. */
+/** Retry delay that is returned to refused callers. */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { Random } from '../random.js'
 
-const SHORTEST: Milliseconds = 500
-const LONGEST: Milliseconds = 30 * SECOND
+const MIN_RETRY_AFTER: Milliseconds = 500
+const MAX_RETRY_AFTER: Milliseconds = 30 * SECOND
 
-/** Refused callers come back spread over this share of the time they were told. */
-const SPREAD = 0.5
+/** Maximum random extension of the delay, as a share of it. */
+const JITTER = 0.5
 
 /**
- * Failure guarded against: callers refused together and told the same time come back together and
- * are refused together again. The spread breaks them up.
+ * Time after which a refused caller should retry, with random jitter.
  *
- * @param backlog time that what waits will take
+ * Failure guarded against: callers that are refused together and get the same delay retry together and are refused
+ * together again. The jitter spreads their retries.
+ *
+ * @param backlog time that the waiting work will take
  * @example
  * retryAfter(4 * SECOND, random) // 4 to 6 s
  */
 export function retryAfter (backlog: Milliseconds, random: Random): Milliseconds {
-  const earliest = Math.min(LONGEST, Math.max(SHORTEST, backlog))
-  return Math.round(earliest * (1 + SPREAD * random.fraction()))
+  const earliest = Math.min(MAX_RETRY_AFTER, Math.max(MIN_RETRY_AFTER, backlog))
+  return Math.round(earliest * (1 + JITTER * random.fraction()))
 }
--- a/src/admission/scheduler.ts
+++ b/src/admission/scheduler.ts
@@ -1,6 +1,6 @@
 /**
- * The scheduler of one node. Each service has its own queue, order and upstreams; this is where
- * events find theirs.
+ * The scheduler of one node. Each service has its own queue and its own upstreams. This module passes each event to the
+ * service that it concerns.
  */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
@@ -15,20 +15,22 @@
 import type { ServiceScheduler } from './service-scheduler.js'
 import type { PendingAttempt, Scheduler, SchedulerEffect, SchedulerEvent } from './types.js'
 
-/** Earliest sensible next attempt for a class that is not configured. */
+/** Retry delay for attempts of a class that is not configured. */
 const UNKNOWN_CLASS_RETRY: Milliseconds = 2 * SECOND
 
-/** What a scheduler is made of. */
+/** Options of {@link createScheduler}. */
 export interface SchedulerOptions {
-  /** Seeded: equal seeds and equal events give equal effects. */
+  /** Random source. Equal seeds and equal events give equal effects. */
   readonly random: Random
-  /** Name of this node. With it, the node uses a part of a large service's upstreams. */
+  /** Name of this node. If it is set, the node uses only a subset of the upstreams of a large service. */
   readonly node?: string
-  /** Most upstreams of one service that this node uses; by default from the number of nodes. */
-  readonly largestView?: number
+  /** Maximum number of upstreams of one service that this node uses. Derived from the number of nodes by default. */
+  readonly maxViewSize?: number
 }
 
 /**
+ * Creates a scheduler without configuration and upstreams.
+ *
  * @example
  * const scheduler = createScheduler({ random: createRandom(1) })
  * for (const effect of scheduler.handle({ kind: 'arrived', attempt }, clock.now())) carryOut(effect)
@@ -63,7 +65,7 @@
   }
 
   function updateService (service: ServiceScheduler, views: readonly UpstreamView[], now: Milliseconds): void {
-    const used = options.node === undefined ? views : partialView(options.node, views, options.largestView ?? viewSize(nodes, views.length))
+    const used = options.node === undefined ? views : partialView(options.node, views, options.maxViewSize ?? viewSize(nodes, views.length))
     service.fleet.update(used, now)
     service.fleet.setSharingNodes(nodesPerUpstream(nodes, used.length, views.length))
   }
@@ -78,12 +80,12 @@
     return service.arrived(attempt, classState, now)
   }
 
-  function serviceAt (upstream: UpstreamName): ServiceScheduler | undefined {
+  function findByUpstream (upstream: UpstreamName): ServiceScheduler | undefined {
     const name = serviceOfUpstream.get(upstream)
     return name === undefined ? undefined : services.get(name)
   }
 
-  function serviceWith (id: RequestId): ServiceScheduler | undefined {
+  function findByRequest (id: RequestId): ServiceScheduler | undefined {
     const name = serviceOfRequest.get(id)
     return name === undefined ? undefined : services.get(name)
   }
@@ -99,12 +101,12 @@
       case 'upstreams':
         return updateUpstreams(event.upstreams, now)
       case 'load': {
-        const service = serviceAt(event.report.upstream)
+        const service = findByUpstream(event.report.upstream)
         service?.fleet.reported(event.report, now)
         return service?.advance(now) ?? []
       }
       case 'cache':
-        serviceAt(event.upstream)?.fleet.cacheChanged(event.upstream, event.stored, event.evicted, event.gap)
+        findByUpstream(event.upstream)?.fleet.cacheChanged(event.upstream, event.stored, event.evicted, event.gap)
         return []
       case 'nodes':
         nodes = event.count
@@ -112,10 +114,10 @@
       case 'arrived':
         return arrived(event.attempt, now)
       case 'first-token':
-        serviceWith(event.id)?.firstToken(event.id, now)
+        findByRequest(event.id)?.firstToken(event.id, now)
         return []
       case 'ended': {
-        const service = serviceWith(event.id)
+        const service = findByRequest(event.id)
         serviceOfRequest.delete(event.id)
         return service?.ended(event.id, event.result, now) ?? []
       }
--- a/src/admission/service-rate.ts
+++ b/src/admission/service-rate.ts
@@ -1,60 +1,71 @@
 /**
- * Work per millisecond that a node can have done by a service's upstreams, measured while attempts
- * wait: what is dispatched then is all that the upstreams take from this node.
+ * Work per millisecond that the upstreams of a service accept from one node. It is measured while attempts wait, because
+ * the work dispatched during that time is all that the upstreams accept.
  */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 
-/** Rate of one service at one node, in milliseconds of one upstream per millisecond. */
+/** Service rate of one node, in milliseconds of work of one upstream per millisecond. */
 export interface ServiceRate {
-  /** Called before each change: `waiting` says whether something waited since the last call. */
-  passed (waiting: boolean, now: Milliseconds): void
-  /** An attempt was dispatched that had waited; one that found room at once shows nothing. */
+  /**
+   * Advances the time. Must be called before each change of the queue.
+   *
+   * @param waiting whether attempts have been waiting since the last call
+   */
+  update (waiting: boolean, now: Milliseconds): void
+  /** Adds the work of a dispatched attempt that had waited. Attempts that were dispatched on arrival do not count. */
   dispatched (work: number): void
-  /** @param expected upstreams times this node's share; bounds what was measured */
+  /**
+   * The current rate.
+   *
+   * @param expected number of upstreams times this node's share of them, which bounds the measured rate
+   */
   value (expected: number): number
 }
 
 /**
- * Waiting time over which one measurement is taken, summed over many queues.
+ * Waiting time that one measurement covers. It is summed over successive queues.
  *
- * Failure guarded against: counted only while a queue lasts, the dispatch that ends a queue is left
- * out, the rate comes out at a third, and callers are refused for it.
+ * Failure guarded against: a measurement that starts anew with each queue misses the dispatch that ends the queue. The
+ * measured rate is then only a third of the real one, and callers are refused without need.
  */
 const INTERVAL: Milliseconds = 3 * SECOND
 
-const STEP = 0.25
+/** Weight of one measurement in the smoothed rate. */
+const SMOOTHING = 0.25
 
-/** The measured rate is believed within these factors of what the number of upstreams suggests. */
-const LEAST_FACTOR = 0.1
-const MOST_FACTOR = 10
+/** Bounds of the measured rate, as factors of the expected one. */
+const MIN_FACTOR = 0.1
+const MAX_FACTOR = 10
 
 /**
+ * Creates a service rate that equals the expected rate until a measurement is complete.
+ *
  * @example
  * const rate = createServiceRate()
- * rate.passed(true, now)
+ * rate.update(true, now)
  * rate.dispatched(120)
  * rate.value(fleet.size() * fleet.share())
  */
 export function createServiceRate (): ServiceRate {
   let factor = 1
   let lastExpected = 1
-  let at: Milliseconds | undefined
-  let busy: Milliseconds = 0
+  let updatedAt: Milliseconds | undefined
+  let waitingTime: Milliseconds = 0
   let work = 0
 
   function measure (): void {
-    const measured = work / busy / lastExpected
-    factor += STEP * (Math.min(MOST_FACTOR, Math.max(LEAST_FACTOR, measured)) - factor)
-    busy = 0
+    const measured = work / waitingTime / lastExpected
+    factor += SMOOTHING * (Math.min(MAX_FACTOR, Math.max(MIN_FACTOR, measured)) - factor)
+    waitingTime = 0
     work = 0
   }
 
   return {
-    passed: (waiting, now) => {
-      if (at !== undefined && waiting) busy += now - at
-      at = now
-      if (busy >= INTERVAL) measure()
+    update: (waiting, now) => {
+      if (updatedAt !== undefined && waiting) waitingTime += now - updatedAt
+      updatedAt = now
+      if (waitingTime >= INTERVAL) measure()
     },
     dispatched: (amount) => {
       work += amount
--- a/src/admission/victim.ts
+++ b/src/admission/victim.ts
@@ -1,14 +1,22 @@
-/** Which waiting attempt is refused when not all of them can meet their targets. */
+/** Choice of the waiting attempt to refuse when not all of them can meet their targets. */
 import type { Milliseconds } from '../clock.js'
 import type { OrganisationName } from '../identifiers.js'
 import type { FairShare } from './fair-share.js'
 import type { WaitingAttempt } from './waiting.js'
 
 /**
- * An attempt that is too late whatever is refused goes itself. Otherwise one of those that start no
- * later than the first late attempt: of the organisation that had most lately; of its classes, those
- * first whose reliability still allows a refusal, then the one with the largest use and the longest
- * work, so that small classes keep their targets while a large one floods; of one class, the newest.
+ * Chooses the attempt to refuse.
+ *
+ * A late attempt that would miss its target even if another were refused is refused itself. Otherwise the choice is
+ * among the attempts up to the first late one, in this order:
+ *
+ * 1. An attempt of the organisation with clearly the highest recent use.
+ * 2. Within the organisation, a class whose reliability target still allows a refusal.
+ * 3. Of these, the class with the highest product of recent use and work per request. Small classes thus keep their
+ *    targets while a large one causes the overload.
+ * 4. Within the class, the newest attempt.
+ *
+ * Accepted attempts are never refused.
  *
  * @param late index of the first attempt that would start too late
  * @example
@@ -30,8 +38,8 @@
   return victim
 }
 
-/** An organisation's use is clearly more than another's from this factor on. */
-const CLEARLY = 1.25
+/** Factor by which the use of an organisation must exceed that of another to count as clearly higher. */
+const CLEAR_EXCESS = 1.25
 
 interface Rank {
   readonly name: OrganisationName
@@ -41,20 +49,20 @@
   readonly arrivedAt: Milliseconds
 }
 
-/** Weighted by the work of one request, classes of long answers give way to those of short ones. */
+/** The use of a class is weighted by the work of one request, so classes with long answers are refused first. */
 function rankOf (entry: WaitingAttempt, shares: FairShare, now: Milliseconds): Rank {
   const { organisation, class: requestClass, arrivedAt } = entry.attempt
   return {
     name: organisation,
     organisation: shares.ofOrganisation(organisation, now),
-    exhausted: entry.classState.exhausted(),
+    exhausted: entry.classState.isRefusalBudgetExhausted(),
     class: shares.ofClass(organisation, requestClass, now) * entry.work,
     arrivedAt
   }
 }
 
 function isWorse (left: Rank, right: Rank): boolean {
-  if (left.name !== right.name && left.organisation > right.organisation * CLEARLY) return true
+  if (left.name !== right.name && left.organisation > right.organisation * CLEAR_EXCESS) return true
   if (left.name !== right.name) return false
   if (left.exhausted !== right.exhausted) return right.exhausted
   if (left.class !== right.class) return left.class > right.class
--- a/src/admission/waiting.ts
+++ b/src/admission/waiting.ts
@@ -1,4 +1,4 @@
-/** Attempts of one service that wait at a node, in the order in which they are to be dispatched. */
+/** Queue of the attempts of one service that wait at a node, in order of dispatch. */
 import type { Milliseconds } from '../clock.js'
 import type { ClassName, OrganisationName, RequestId } from '../identifiers.js'
 import type { AttemptDemand } from '../upstream/index.js'
@@ -12,62 +12,66 @@
   readonly demand: AttemptDemand
   /** Expected work, in milliseconds of one upstream. */
   readonly work: number
-  /** Latest dispatch that is likely to meet the target. */
+  /** Latest time of dispatch that is likely to meet the target. */
   readonly latestStart: Milliseconds
-  /** Position: the latest start, moved back for what its organisation has had and has waiting. */
+  /** Sort key: the latest start, plus a delay for the recent use and the waiting work of the organisation. */
   readonly order: Milliseconds
-  /** Since when it waits here. */
+  /** Time at which the attempt was added to the queue. */
   readonly since: Milliseconds
 }
 
 /** The waiting attempts of one service. */
 export interface WaitingList {
   add (entry: WaitingAttempt): void
+  /** Removes and returns an attempt, if it waits. */
   remove (id: RequestId): WaitingAttempt | undefined
   size (): number
-  /** Expected work of all of them. */
+  /** Expected work of all waiting attempts. */
   work (): number
-  /** Expected work of one class of an organisation. */
+  /** Expected work of the waiting attempts of one class of an organisation. */
   workOf (organisation: OrganisationName, requestClass: ClassName): number
-  /** In order of dispatch; not to be changed. */
+  /** The waiting attempts in order of dispatch. The array is live and must not be modified. */
   entries (): readonly WaitingAttempt[]
   /**
-   * First entry that would start too late if those before it are served at these rates, or -1.
+   * Index of the first attempt that would start too late if all attempts before it were served at the given rates, or
+   * -1. Accepted attempts never count as late.
    *
    * @param rate work done per millisecond
-   * @param patientRate what is left of it for attempts that are not urgent, since urgent ones that are
-   * still to come will go before them
+   * @param nonUrgentRate share of the rate that is left for attempts without urgency. Urgent attempts that have not
+   * arrived yet will be served before them.
    */
-  firstLate (rate: number, patientRate: number, now: Milliseconds): number
+  firstLate (rate: number, nonUrgentRate: number, now: Milliseconds): number
 }
 
-/** Less is the rounding error of sums. */
-const NO_WORK = 1e-6
+/** Sums below this are rounding errors and count as 0. */
+const WORK_EPSILON = 1e-6
 
 /**
+ * Creates an empty queue.
+ *
  * @example
  * const waiting = createWaitingList()
  * waiting.add(entry)
- * waiting.firstLate(rate, patientRate, now)
+ * waiting.firstLate(rate, nonUrgentRate, now)
  */
 export function createWaitingList (): WaitingList {
   const entries: WaitingAttempt[] = []
   const byId = new Map<RequestId, WaitingAttempt>()
-  const flows = new Map<OrganisationName, Map<ClassName, number>>()
+  const workByOrganisation = new Map<OrganisationName, Map<ClassName, number>>()
   let totalWork = 0
 
   function addWork (entry: WaitingAttempt, work: number): void {
     const { organisation, class: requestClass } = entry.attempt
-    const classes = flows.get(organisation) ?? new Map<ClassName, number>()
+    const classes = workByOrganisation.get(organisation) ?? new Map<ClassName, number>()
     const sum = (classes.get(requestClass) ?? 0) + work
     totalWork += work
-    flows.set(organisation, classes)
+    workByOrganisation.set(organisation, classes)
     classes.set(requestClass, sum)
-    if (sum < NO_WORK) classes.delete(requestClass)
-    if (classes.size === 0) flows.delete(organisation)
+    if (sum < WORK_EPSILON) classes.delete(requestClass)
+    if (classes.size === 0) workByOrganisation.delete(organisation)
   }
 
-  /** First index whose order is not smaller. */
+  /** Index of the first entry whose sort key is not smaller. */
   function position (order: Milliseconds): number {
     let low = 0
     let high = entries.length
@@ -97,17 +101,17 @@
     },
     size: () => entries.length,
     work: () => totalWork,
-    workOf: (organisation, requestClass) => flows.get(organisation)?.get(requestClass) ?? 0,
+    workOf: (organisation, requestClass) => workByOrganisation.get(organisation)?.get(requestClass) ?? 0,
     entries: () => entries,
-    firstLate: (rate, patientRate, now) => {
-      let urgent = 0
-      let patient = 0
+    firstLate: (rate, nonUrgentRate, now) => {
+      let urgentWork = 0
+      let nonUrgentWork = 0
       for (let index = 0; index < entries.length; index += 1) {
         const entry = entries[index] as WaitingAttempt
-        const start = now + urgent / rate + patient / (entry.demand.urgent ? rate : patientRate)
+        const start = now + urgentWork / rate + nonUrgentWork / (entry.demand.urgent ? rate : nonUrgentRate)
         if (!entry.attempt.accepted && start > entry.latestStart) return index
-        if (entry.demand.urgent) urgent += entry.work
-        else patient += entry.work
+        if (entry.demand.urgent) urgentWork += entry.work
+        else nonUrgentWork += entry.work
       }
       return -1
     }
--- a/src/entry/membership-keeper.ts
+++ b/src/entry/membership-keeper.ts
@@ -9,7 +9,7 @@
 import type { ConfigurationRevision } from '../configuration/index.js'
 import type { Address, Incarnation, OrganisationName } from '../identifiers.js'
 import type { Log } from '../log.js'
-import { answerNodes, createMembershipView, createSuspicions, isWatcher, successorsOf } from '../membership/index.js'
+import { selectAddressNodes, createMembershipView, createSuspicions, isWatcher, successorsOf } from '../membership/index.js'
 import type { AddressAnswer, NodeRecord, PeerState } from '../membership/index.js'
 import type { AgreementHandlers, DeliveryTarget } from '../peer/agreement.js'
 import type { KeyValue, KeyValueChange } from '../protocols/key-value.js'
@@ -201,12 +201,12 @@
     const missed = await deliverTo(deliveryOptions, revision, rest, within * (1 - FIRST_ROUND))
     // A node that went meanwhile has nothing to confirm.
     const missing = missed.flatMap((incarnation) => view.find(incarnation) ?? [])
-    const unheard = view.unheard(clock.now())
+    const unheard = view.vanished(clock.now())
     return { revision: revision.revision, confirmed: targets.length + 1 - missed.length, missing: [...missing, ...unheard], unheard }
   }
 
   async function tick (): Promise<void> {
-    view.settle(clock.now(), (incarnation) => suspicions.isDown(incarnation, clock.now()))
+    view.removeLapsed(clock.now(), (incarnation) => suspicions.isDown(incarnation, clock.now()))
     tellChanges()
     const last = exchange.lastHeard() ?? -Infinity
     const heardPeer = clock.now() - last < PEER_SILENCE
@@ -268,7 +268,7 @@
     peerOf: view.stateOf,
     isDown: (incarnation) => suspicions.isDown(incarnation, clock.now()),
     addressAnswer: (organisation, lifetime) => ({
-      nodes: answerNodes(organisation, reachable()).map((node) => ({ address: node.address, incarnation: node.incarnation, failure_domain: node.failureDomain })),
+      nodes: selectAddressNodes(organisation, reachable()).map((node) => ({ address: node.address, incarnation: node.incarnation, failure_domain: node.failureDomain })),
       lifetime_ms: lifetime
     }),
     buddy: () => successorsOf(own, reachable())[0],
--- a/src/entry/node-records.ts
+++ b/src/entry/node-records.ts
@@ -1,7 +1,7 @@
 /** Nodes' records as the key-value service holds them. What cannot be read is left out: one bad value must not hide the others. */
 import { readJson } from '../json.js'
 import { nodeRecordSchema } from '../membership/index.js'
-import type { Stamped, ViewChange } from '../membership/index.js'
+import type { RevisionedRecord, ViewChange } from '../membership/index.js'
 import type { KeyValueChange, KeyValueEntry } from '../protocols/key-value.js'
 import { NODE_PREFIX } from './registration.js'
 
@@ -11,7 +11,7 @@
  * @example
  * const records = listing.entries.flatMap(toStamped)
  */
-export function toStamped (entry: KeyValueEntry): Stamped[] {
+export function toStamped (entry: KeyValueEntry): RevisionedRecord[] {
   const record = readJson(nodeRecordSchema, entry.value)
   return record === undefined ? [] : [{ record, revision: entry.revision }]
 }
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -151,7 +151,7 @@
 function watchRun (context: GatewayContext, proxied: ProxiedRequest, upstream: UpstreamRecord): WatchedRun | undefined {
   const { route, head } = proxied.accepted
   const isLostWithUpstream = route.kind === 'stream' && !route.resumable
-  const canMove = context.routeTable()?.service(proxied.service)?.movesRuns === true
+  const canMove = context.routeTable()?.service(proxied.service)?.canMoveRuns === true
   return isLostWithUpstream && canMove ? context.evacuation.watch(upstream, head.id, proxied.signal) : undefined
 }
 
--- a/src/gateway/listener.ts
+++ b/src/gateway/listener.ts
@@ -64,8 +64,8 @@
  * applyCallerLimits(server, configuration.limits)
  */
 export function applyCallerLimits (server: Server, limits: CallerLimits): void {
-  server.headersTimeout = limits.headerTime
-  server.keepAliveTimeout = limits.idleTime + IDLE_TOLERANCE_MS
+  server.headersTimeout = limits.headerTimeout
+  server.keepAliveTimeout = limits.idleTimeout + IDLE_TOLERANCE_MS
 }
 
 /**
--- a/src/gateway/node.ts
+++ b/src/gateway/node.ts
@@ -300,7 +300,7 @@
 
   /** Limits the connections to each upstream to this node's share of what the upstream accepts. */
   function limitConnections (): void {
-    for (const { name, mostConnections } of configuration.table()?.configuration.services ?? []) {
+    for (const { name, maxConnections: mostConnections } of configuration.table()?.configuration.services ?? []) {
       connections.setConnectionLimit(name, Math.max(1, Math.floor(mostConnections * CONNECTION_FRACTION / Math.max(MIN_ASSUMED_NODES, sharedAmong))))
     }
   }
--- a/src/gateway/proxied-request.ts
+++ b/src/gateway/proxied-request.ts
@@ -74,7 +74,7 @@
   // A moved run has already run at its previous upstream, even if the new upstream did not accept it.
   const combinedVerdict: Verdict = proxied.attempts > 0 && verdict === 'not-run' ? 'may-have-run' : verdict
   if (!mayRepeat(combinedVerdict, repeatable)) return 'it may run only once'
-  if (proxied.attempts >= route.mostAttempts) return 'its route allows no further attempt'
+  if (proxied.attempts >= route.maxAttempts) return 'its route allows no further attempt'
   if (proxied.deliveredAttempts === 0 || context.retryBudget(proxied.service).take(context.clock.now())) return undefined
   return 'the retry budget is used up'
 }
--- a/src/gateway/response-watchdog.ts
+++ b/src/gateway/response-watchdog.ts
@@ -63,7 +63,7 @@
  * eventTimeout(route) // 375 for a maximum pause of 500
  */
 export function eventTimeout (route: Route): Milliseconds {
-  return route.longestPause * PAUSE_FRACTION
+  return route.maxPause * PAUSE_FRACTION
 }
 
 /**
--- a/src/gateway/scaling-controller.ts
+++ b/src/gateway/scaling-controller.ts
@@ -2,9 +2,9 @@
 import type { Milliseconds } from '../clock.js'
 import { repeat } from '../repeat.js'
 import type { EngineSpeeds, UpstreamRecord } from '../placement/index.js'
-import type { RouteTable, ScalingFacts, Service } from '../routing/index.js'
-import { addBeside, busyEngines, createLoadFollower, createOrderBook, expectedEngines, planPools } from '../scaling/index.js'
-import type { LoadFollower, OfferedWork, OrderAnswer, OrderBook, Pool, PoolSize } from '../scaling/index.js'
+import type { RouteTable, ScalingConfiguration, Service } from '../routing/index.js'
+import { addOtherVersions, offeredLoad, createLoadEstimator, createOrderTracker, expectedLoad, planPools } from '../scaling/index.js'
+import type { LoadEstimator, OfferedWork, OrderAnswer, OrderTracker, Pool, PoolSize } from '../scaling/index.js'
 import type { DutyHolder } from './duty-holder.js'
 import type { StoreContext } from './follow.js'
 import type { DutyCalls, DutyProof } from './ports.js'
@@ -38,8 +38,8 @@
 const REGISTRATION_DELAY: Milliseconds = 2_000
 
 interface ScaledService {
-  readonly orderBook: OrderBook
-  readonly load: LoadFollower
+  readonly orderBook: OrderTracker
+  readonly load: LoadEstimator
   /** Load to assume until the rates of work have settled, in busy upstreams. */
   readonly initialLoad: number
   /** Time at which the first work was seen. */
@@ -64,10 +64,10 @@
   function stateOf (service: Service, present: number): ScaledService | undefined {
     const known = services.get(service.name)
     if (known !== undefined) return known
-    const expected = expectedEngines(quotaTokens(), options.speeds.of(service.name).perThousandTokens)
+    const expected = expectedLoad(quotaTokens(), options.speeds.of(service.name).perThousandTokens)
     if (expected === 0 && present === 0) return undefined
     const initialLoad = expected > 0 ? expected : present * INITIAL_LOAD_FRACTION
-    const created: ScaledService = { orderBook: createOrderBook(), load: createLoadFollower(initialLoad), initialLoad, firstWorkAt: undefined, since: clock.now() }
+    const created: ScaledService = { orderBook: createOrderTracker(), load: createLoadEstimator(initialLoad), initialLoad, firstWorkAt: undefined, since: clock.now() }
     services.set(service.name, created)
     return created
   }
@@ -84,11 +84,11 @@
     const work = options.work()[service.name]
     if (work !== undefined && scaled.firstWorkAt === undefined) scaled.firstWorkAt = now
     if (scaled.firstWorkAt === undefined || now - scaled.firstWorkAt < RATE_SETTLING_TIME) return scaled.initialLoad
-    scaled.load.observe(work === undefined ? 0 : busyEngines(work, slots), now)
+    scaled.load.observe(work === undefined ? 0 : offeredLoad(work, slots), now)
     return scaled.load.value(now)
   }
 
-  async function scale (service: Service, facts: ScalingFacts): Promise<void> {
+  async function scale (service: Service, facts: ScalingConfiguration): Promise<void> {
     const now = clock.now()
     const present = upstreams.all().filter((upstream) => upstream.service === service.name)
     const scaled = stateOf(service, present.length)
@@ -99,15 +99,15 @@
     if (proof.fencing !== lastFencing) scaled.orderBook.reset()
     const running = (pool: Pool): number => present.filter((upstream) => isInPool(pool, upstream) && !upstream.leaving).length
     const planned = planPools({
-      awaitReclaimable: now - scaled.since < facts.bootTime + REGISTRATION_DELAY && scaled.firstWorkAt === undefined,
+      assumeReclaimableRunning: now - scaled.since < facts.bootTime + REGISTRATION_DELAY && scaled.firstWorkAt === undefined,
       facts,
       failureDomains: options.failureDomains,
       present: present.filter(options.carriesTraffic),
       load,
-      refusedUntil: scaled.orderBook.refusedUntil,
+      unavailableUntil: scaled.orderBook.unavailableUntil,
       now
     })
-    const sizes = addBeside(planned, present.filter((upstream) => !options.carriesTraffic(upstream)), facts.most)
+    const sizes = addOtherVersions(planned, present.filter((upstream) => !options.carriesTraffic(upstream)), facts.maxUpstreams)
     for (const size of scaled.orderBook.due(sizes, running, now)) {
       const answer = await sendOrder(proof, service.name, size)
       scaled.orderBook.answered(size, answer, clock.now())
--- a/src/lease/holder.ts
+++ b/src/lease/holder.ts
@@ -1,27 +1,35 @@
 /**
- * When a holder may act. Times are of the holder's own monotonic clock, and every bound counts from
- * before the call was sent: the service's lease can't have begun earlier, so it lapses later than
- * the holder stops, whatever the replies took.
+ * Tracks how long a process may act as the holder of a lease.
+ *
+ * All times are of the holder's own monotonic clock. The duration of the lease counts from the time before the call was
+ * sent. The service cannot have started the lease earlier, so the holder always stops before the service lets the
+ * lease expire, however late the reply arrives.
  */
 import type { Milliseconds } from '../clock.js'
 import type { HeldLease } from './types.js'
 
-/** One process's knowledge of a lease. */
+/** State of a lease as one process knows it. */
 export interface LeaseHolder {
-  /** The lease was taken by a call sent at `sentAt` for `time`. */
-  taken (fencing: number, sentAt: Milliseconds, time: Milliseconds): void
-  /** The service confirmed a renewal that was sent at `sentAt`; `remaining` from when it answered. */
+  /** Records that a call sent at `sentAt` acquired the lease for `duration`. */
+  taken (fencing: number, sentAt: Milliseconds, duration: Milliseconds): void
+  /**
+   * Records that a call sent at `sentAt` renewed the lease.
+   *
+   * @param remaining time left on the lease when the service answered
+   */
   renewed (sentAt: Milliseconds, remaining: Milliseconds): void
-  /** The service says that the lease is not this process's. */
+  /** Records that the service no longer assigns the lease to this process. */
   lost (): void
-  /** The lease if it is held for at least `margin` after `now`. */
+  /** The lease, or undefined unless it is held for at least `margin` after `now`. */
   held (now: Milliseconds, margin: Milliseconds): HeldLease | undefined
 }
 
-/** Share of the lease's time that is given up against clocks that run at different speeds. */
-const DRIFT = 0.05
+/** Share of the duration that is subtracted as a tolerance for clocks that run at different speeds. */
+const CLOCK_DRIFT = 0.05
 
 /**
+ * Creates a holder without a lease.
+ *
  * @example
  * const holder = createLeaseHolder()
  * holder.taken(entry.revision, sentAt, 15_000)
@@ -31,18 +39,18 @@
   let lease: HeldLease | undefined
 
   return {
-    taken: (fencing, sentAt, time) => {
+    taken: (fencing, sentAt, duration) => {
       if (lease !== undefined && fencing < lease.fencing) return
-      lease = { fencing, until: safeUntil(sentAt, time) }
+      lease = { fencing, until: localExpiry(sentAt, duration) }
     },
     renewed: (sentAt, remaining) => {
       if (lease === undefined) return
-      // A lease that lapsed here may have been another's meanwhile; it has to be taken anew.
+      // An expired lease may have been held by another process since, so it must be acquired again.
       if (sentAt >= lease.until) {
         lease = undefined
         return
       }
-      lease = { ...lease, until: Math.max(lease.until, safeUntil(sentAt, remaining)) }
+      lease = { ...lease, until: Math.max(lease.until, localExpiry(sentAt, remaining)) }
     },
     lost: () => { lease = undefined },
     held: (now, margin) => lease !== undefined && now + margin < lease.until ? lease : undefined
@@ -50,13 +58,13 @@
 }
 
 /**
- * Time at which a holder stops: before the service can let the lease lapse.
+ * Time at which the holder stops, before the service can let the lease expire.
  *
- * @param sentAt when the call that began or renewed the lease was sent
- * @param time the lease's time, in milliseconds
+ * @param sentAt time at which the call that acquired or renewed the lease was sent
+ * @param duration duration of the lease, in milliseconds
  * @example
- * safeUntil(0, 15_000) // 14_250
+ * localExpiry(0, 15_000) // 14_250
  */
-export function safeUntil (sentAt: Milliseconds, time: Milliseconds): Milliseconds {
-  return sentAt + time * (1 - DRIFT)
+export function localExpiry (sentAt: Milliseconds, duration: Milliseconds): Milliseconds {
+  return sentAt + duration * (1 - CLOCK_DRIFT)
 }
--- a/src/lease/index.ts
+++ b/src/lease/index.ts
@@ -1,3 +1,3 @@
-/** Leases: holding, losing and fencing. */
+/** Leases with fencing numbers: when a process may act as the holder. */
 export type { HeldLease, Leadership } from './types.js'
 export { createLeaseHolder } from './holder.js'
--- a/src/lease/types.ts
+++ b/src/lease/types.ts
@@ -1,16 +1,16 @@
-/** A lease on a task that one process at a time may do. */
+/** A lease on a task that only one process at a time may perform. */
 import type { Milliseconds } from '../clock.js'
 
-/** What the holder knows of its lease. */
+/** A lease that this process holds. */
 export interface HeldLease {
-  /** Rises with every change of holder; orders carry it. */
+  /** Fencing number. Increases with every change of the holder and is sent with every order. */
   readonly fencing: number
-  /** The holder stops at this time of its own monotonic clock, before the lease can lapse. */
+  /** Time of the holder's monotonic clock at which it stops, before the lease can expire. */
   readonly until: Milliseconds
 }
 
-/** The lease as its user sees it. */
+/** Access to the lease for code that may only run while it is held. */
 export interface Leadership {
-  /** The lease if it is held now and for at least `margin` longer. */
+  /** The lease, or undefined unless it is held for at least `margin` from now. */
   held (margin: Milliseconds): HeldLease | undefined
 }
--- a/src/membership/places.ts
+++ b/src/membership/places.ts
@@ -1,81 +1,84 @@
-/** Which nodes take which place: answering an organisation, watching, keeping notes, taking over. */
+/** Assignment of nodes to callers and roles: address answers, watchers of the key-value service and successors. */
 import type { OrganisationName } from '../identifiers.js'
-import { pickPerDomain, pickSpread, rank, score } from './rendezvous.js'
+import { pickPerDomain, pickAcrossDomains, rank, score } from './rendezvous.js'
 import type { NodeRecord } from './types.js'
 
-/** Nodes of each failure domain that watch the key-value service for all. */
+/** Number of nodes per failure domain that watch the key-value service on behalf of all nodes. */
 export const WATCHERS_PER_DOMAIN = 2
 
-/** Key by which watchers are ranked. */
-const WATCH = 'watch'
+/** Key for the ranking of watchers. */
+const WATCHER_KEY = 'watch'
 
-/** Smallest number of nodes in an address answer: today's three failure domains and a spare. */
-const SMALLEST_ANSWER = 4
+/** Minimum number of nodes in an address answer: one for each of three failure domains, and a spare. */
+const MIN_ANSWER_SIZE = 4
 
-/** An answer grows with the square root of the fleet: 5 of 8 nodes, 29 of 370. */
-const ANSWER_GROWTH = 1.5
+/** Factor of the square root of the number of nodes in the size of an answer: 5 of 8 nodes, 29 of 370. */
+const ANSWER_SIZE_FACTOR = 1.5
 
 /**
- * Nodes that an organisation's callers use: few, so that its prompts meet the same upstreams' caches,
- * spread over failure domains, and the same under churn but for the nodes that came or went.
+ * Selects the nodes that the callers of an organisation use.
  *
- * @param nodes live nodes; leaving ones are never answered
+ * There are only few, so that the prompts of the organisation reach the caches of the same upstreams. They are spread
+ * over the failure domains. When nodes join or leave, only those nodes are replaced in the selection.
+ *
+ * @param nodes live nodes. Leaving nodes are never selected.
  * @example
- * answerNodes(organisation, nodes).map((node) => node.address)
+ * selectAddressNodes(organisation, nodes).map((node) => node.address)
  */
-export function answerNodes (organisation: OrganisationName, nodes: readonly NodeRecord[]): NodeRecord[] {
+export function selectAddressNodes (organisation: OrganisationName, nodes: readonly NodeRecord[]): NodeRecord[] {
   const staying = nodes.filter((node) => !node.leaving)
-  return pickSpread(`organisation/${organisation}`, staying, answerSize(staying.length))
+  return pickAcrossDomains(`organisation/${organisation}`, staying, addressAnswerSize(staying.length))
 }
 
 /**
  * Number of nodes in an address answer.
  *
+ * @param nodes number of live nodes
  * @example
- * answerSize(370) // 29
+ * addressAnswerSize(370) // 29
  */
-export function answerSize (nodes: number): number {
-  return Math.min(nodes, Math.max(SMALLEST_ANSWER, Math.ceil(ANSWER_GROWTH * Math.sqrt(nodes))))
+export function addressAnswerSize (nodes: number): number {
+  return Math.min(nodes, Math.max(MIN_ANSWER_SIZE, Math.ceil(ANSWER_SIZE_FACTOR * Math.sqrt(nodes))))
 }
 
 /**
- * Nodes that watch the key-value service; every node reckons the same ones from the same view.
+ * Nodes that watch the key-value service. All nodes with the same view determine the same watchers.
  *
  * @example
  * watchers(nodes).includes(own)
  */
 export function watchers (nodes: readonly NodeRecord[]): NodeRecord[] {
-  return pickPerDomain(WATCH, nodes.filter((node) => !node.leaving), WATCHERS_PER_DOMAIN)
+  return pickPerDomain(WATCHER_KEY, nodes.filter((node) => !node.leaving), WATCHERS_PER_DOMAIN)
 }
 
 /**
- * Whether a node is one of the {@link watchers}. Each node asks this every second, so only its own
- * failure domain is looked at and nothing is sorted.
+ * Whether a node is one of the {@link watchers}. Each node checks this every second, so the function only examines the
+ * node's own failure domain and does not sort.
  *
  * @example
  * isWatcher(own, nodes)
  */
 export function isWatcher (own: NodeRecord, nodes: readonly NodeRecord[]): boolean {
   if (own.leaving) return false
-  const ownScore = score(WATCH, own.incarnation)
-  const before = nodes.filter((node) => {
+  const ownScore = score(WATCHER_KEY, own.incarnation)
+  const rankedHigher = nodes.filter((node) => {
     if (node.failureDomain !== own.failureDomain || node.leaving || node.incarnation === own.incarnation) return false
-    const other = score(WATCH, node.incarnation)
+    const other = score(WATCHER_KEY, node.incarnation)
     return other > ownScore || (other === ownScore && node.incarnation < own.incarnation)
   })
-  return before.length < WATCHERS_PER_DOMAIN
+  return rankedHigher.length < WATCHERS_PER_DOMAIN
 }
 
 /**
- * Nodes that may take over from one, best first: other failure domains before its own.
+ * Nodes that may take over the work of a node, best first. Nodes in other failure domains precede those in its own.
  *
  * @example
- * const [buddy] = successorsOf(own, nodes)
+ * const [successor] = successorsOf(own, nodes)
  */
 export function successorsOf (own: NodeRecord, nodes: readonly NodeRecord[]): NodeRecord[] {
   const others = nodes.filter((node) => node.incarnation !== own.incarnation && !node.leaving)
   const ranked = rank(`successor/${own.incarnation}`, others)
-  const elsewhere = ranked.filter((node) => node.failureDomain !== own.failureDomain)
-  const beside = ranked.filter((node) => node.failureDomain === own.failureDomain)
-  return [...elsewhere, ...beside]
+  const otherDomains = ranked.filter((node) => node.failureDomain !== own.failureDomain)
+  const sameDomain = ranked.filter((node) => node.failureDomain === own.failureDomain)
+  return [...otherDomains, ...sameDomain]
 }
--- a/src/membership/rendezvous.ts
+++ b/src/membership/rendezvous.ts
@@ -1,11 +1,12 @@
 /**
- * Rendezvous hashing (highest random weight): every node ranks the same candidates the same way, so
- * who watches, who answers an organisation and who is a buddy needs no election, and a node that
- * comes or goes moves only its own places.
+ * Rendezvous hashing (highest random weight).
+ *
+ * Every node ranks the same candidates in the same order, so watchers, the nodes of an organisation and successors are
+ * determined without an election. A node that joins or leaves changes only its own assignments.
  */
 import type { FailureDomain, Incarnation } from '../identifiers.js'
 
-/** What is ranked. */
+/** A node that is ranked. */
 export interface Candidate {
   readonly incarnation: Incarnation
   readonly failureDomain: FailureDomain
@@ -15,7 +16,7 @@
 const FNV_PRIME = 0x01000193
 
 /**
- * Candidates for a key, best first.
+ * Ranks the candidates for a key, best first.
  *
  * @example
  * rank('organisation/hillside', nodes)[0] // the same on every node
@@ -27,26 +28,27 @@
 }
 
 /**
- * The best candidates for a key, taken from the failure domains in turn, so that losing one domain
- * leaves the others' share.
+ * Selects the best candidates for a key from the failure domains in turn. If a failure domain is lost, the candidates in
+ * the others remain.
  *
- * @param count most candidates to take
+ * @param count maximum number of candidates
  * @example
  * pickSpread('organisation/hillside', nodes, 4) // from three domains: 2 + 1 + 1
  */
-export function pickSpread<T extends Candidate> (key: string, candidates: readonly T[], count: number): T[] {
+export function pickAcrossDomains<T extends Candidate> (key: string, candidates: readonly T[], count: number): T[] {
   const queues = [...groupByDomain(rank(key, candidates)).values()]
   const picked: T[] = []
-  for (let turn = 0; picked.length < Math.min(count, candidates.length); turn += 1) {
-    const layer = queues.flatMap((queue) => queue.slice(turn, turn + 1))
+  for (let round = 0; picked.length < Math.min(count, candidates.length); round += 1) {
+    const layer = queues.flatMap((queue) => queue.slice(round, round + 1))
     picked.push(...layer.slice(0, count - picked.length))
   }
   return picked
 }
 
 /**
- * The best candidates of each failure domain.
+ * Selects the best candidates for a key in each failure domain.
  *
+ * @param perDomain maximum number of candidates in each failure domain
  * @example
  * pickPerDomain('watch', nodes, 2)
  */
@@ -55,8 +57,10 @@
 }
 
 /**
- * Pseudorandom weight of a candidate for a key: FNV-1a with a final mix, since FNV alone leaves
- * names that differ in the last letter close together.
+ * Pseudorandom weight of a candidate for a key.
+ *
+ * The hash is FNV-1a with a final mixing step. Without that step, names that differ only in the last letter would have
+ * similar weights.
  *
  * @returns an unsigned 32-bit integer
  * @example
--- a/src/membership/suspicion.ts
+++ b/src/membership/suspicion.ts
@@ -1,62 +1,73 @@
 /**
- * Suspicion by progress, after SWIM (Das, Gupta, Motivala 2002): a node that neither answers on a
- * new connection nor through another peer is suspected; the suspicion travels with the exchanges and
- * the node itself can refute it. A node that stays suspected is left out of address answers, but
- * only the key-value service's leases and the node's successor make it gone.
+ * Failure suspicion after SWIM (Das, Gupta, Motivala 2002).
+ *
+ * A node that answers neither on a new connection nor through another peer is suspected. Rumours about suspicions are
+ * spread with the exchanges between nodes, and the suspected node can refute them. A node that remains suspected is
+ * omitted from address answers. It only counts as gone when its lease at the key-value service has expired or its
+ * successor has taken over.
  */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { Incarnation } from '../identifiers.js'
 import type { Rumour } from './types.js'
 
-/** What is suspected at one node. */
+/** The suspicions that one node knows of. */
 export interface Suspicions {
-  /** An exchange with the node succeeded, or it sent a message. */
+  /** Records a successful exchange with the node or a message from it. */
   heard (about: Incarnation): void
-  /** All ways to the node failed. */
+  /** Records that the node could be reached neither directly nor through a peer. */
   suspect (about: Incarnation, now: Milliseconds): void
-  /** Takes a peer's rumours. */
+  /** Merges the rumours of a peer. */
   merge (rumours: readonly Rumour[], now: Milliseconds): void
-  /** Rumours for the next message; each is sent a bounded number of times. */
+  /**
+   * Selects rumours for the next message. Each rumour is sent a limited number of times.
+   *
+   * @param fleet number of nodes
+   */
   rumoursFor (receiver: Incarnation, fleet: number, now: Milliseconds): Rumour[]
-  /** All present suspicions, for a node that has just started: rumours of the past are not sent again. */
+  /** All current suspicions, for a node that has just started. It has missed the rumours that are no longer sent. */
   allRumours (now: Milliseconds): Rumour[]
-  /** Whether the node has been suspected for longer than it takes to refute. */
+  /** Whether the node has been suspected for at least the time that a refutation takes. */
   isDown (about: Incarnation, now: Milliseconds): boolean
   isSuspected (about: Incarnation): boolean
-  /** Forgets nodes that are gone. */
+  /** Removes all nodes for which `present` returns false. */
   retain (present: (about: Incarnation) => boolean): void
 }
 
 /**
- * A suspected node has this time, counted from the first suspicion anywhere, to refute before callers
- * are not given its address any more. The price of too short a time is a node left out for seconds.
+ * Time that a suspected node has for a refutation, from the first suspicion at any node. After that its address is no
+ * longer given to callers. If the time is too short, a healthy node is omitted for some seconds.
  */
-export const REFUTE_TIME: Milliseconds = 6 * SECOND
+export const REFUTATION_TIME: Milliseconds = 6 * SECOND
 
-/** Most rumours in one message: with 75 bytes each, a wave of 74 stays near 1 KB a message. */
-export const RUMOURS_A_MESSAGE = 16
+/** Number of rumours sent in one message. At 75 bytes each, messages stay near 1 KB even if 74 nodes fail at once. */
+export const RUMOURS_PER_MESSAGE = 16
 
-/** Most rumours that a message may hold: more than a failure domain of the target size. */
-export const MOST_RUMOURS = 256
+/** Maximum number of rumours accepted in one message. More than the nodes of a failure domain at the target size. */
+export const MAX_RUMOURS = 256
 
-/** Each rumour is sent this often times the logarithm of the fleet. */
-const SENDINGS = 3
+/** Each rumour is sent this many times the binary logarithm of the number of nodes. */
+const RETRANSMISSION_FACTOR = 3
 
-/** A rumour without its age, which goes on rising. */
+/** A rumour without its age, which changes with time. */
 type Claim = Omit<Rumour, 'age_ms'>
 
+/** The latest claim about a node. */
 interface Belief {
   readonly claim: Claim
   readonly since: Milliseconds
 }
 
+/** A claim that is still to be sent to peers. */
 interface Pending {
   readonly belief: Belief
   sent: number
 }
 
 /**
+ * Creates an empty set of suspicions.
+ *
+ * @param own this node, for which received suspicions are refuted
  * @example
  * const suspicions = createSuspicions(own)
  * suspicions.suspect(peer, clock.now())
@@ -66,7 +77,7 @@
   const pending = new Map<Incarnation, Pending>()
   let ownNumber = 0
 
-  function believe (claim: Claim, since: Milliseconds): void {
+  function record (claim: Claim, since: Milliseconds): void {
     const belief = { claim, since }
     beliefs.set(claim.about, belief)
     pending.set(claim.about, { belief, sent: 0 })
@@ -85,23 +96,23 @@
   return {
     isSuspected,
     heard: (about) => {
-      // Only this node's own belief ends; the rumour ends when the suspected node itself refutes it.
+      // This ends the suspicion only at this node. The rumour persists until the suspected node refutes it.
       const belief = beliefs.get(about)
       if (belief?.claim.state === 'suspect') beliefs.set(about, { ...belief, claim: { ...belief.claim, state: 'live' } })
     },
     suspect: (about, now) => {
       if (isSuspected(about)) return
-      believe({ about, state: 'suspect', number: beliefs.get(about)?.claim.number ?? 0 }, now)
+      record({ about, state: 'suspect', number: beliefs.get(about)?.claim.number ?? 0 }, now)
     },
     merge: (rumours, now) => {
       for (const { age_ms: age, ...claim } of rumours) {
         if (claim.about === own) refute({ ...claim, age_ms: age }, now)
-        else if (overrides(claim, beliefs.get(claim.about)?.claim)) believe(claim, now - age)
+        else if (overrides(claim, beliefs.get(claim.about)?.claim)) record(claim, now - age)
       }
     },
     rumoursFor: (receiver, fleet, now) => {
-      const chosen = choose(pending, RUMOURS_A_MESSAGE)
-      const limit = SENDINGS * Math.ceil(Math.log2(fleet + 1))
+      const chosen = leastSent(pending, RUMOURS_PER_MESSAGE)
+      const limit = RETRANSMISSION_FACTOR * Math.ceil(Math.log2(fleet + 1))
       for (const item of chosen) {
         item.sent += 1
         if (item.sent >= limit) pending.delete(item.belief.claim.about)
@@ -110,11 +121,11 @@
     },
     allRumours: (now) => [...beliefs.values()]
       .filter((belief) => belief.claim.state === 'suspect')
-      .slice(0, MOST_RUMOURS)
+      .slice(0, MAX_RUMOURS)
       .map((belief) => toRumour(belief, now)),
     isDown: (about, now) => {
       const belief = beliefs.get(about)
-      return belief?.claim.state === 'suspect' && now - belief.since >= REFUTE_TIME
+      return belief?.claim.state === 'suspect' && now - belief.since >= REFUTATION_TIME
     },
     retain: (present) => {
       for (const about of beliefs.keys()) if (!present(about)) beliefs.delete(about)
@@ -127,18 +138,19 @@
   return { ...belief.claim, age_ms: Math.round(now - belief.since) }
 }
 
+/** Whether a received claim replaces the known one. */
 function overrides (rumour: Claim, known: Claim | undefined): boolean {
   if (known === undefined) return rumour.state === 'suspect' || rumour.number > 0
   if (rumour.number !== known.number) return rumour.number > known.number
   return rumour.state === 'suspect' && known.state === 'live'
 }
 
-/** Least sent first, so that new rumours are not held up by old ones. */
-function choose (pending: ReadonlyMap<Incarnation, Pending>, count: number): Pending[] {
+/** Rumours that were sent the fewest times, so that old rumours do not delay new ones. */
+function leastSent (pending: ReadonlyMap<Incarnation, Pending>, count: number): Pending[] {
   return [...pending.values()].sort((left, right) => left.sent - right.sent).slice(0, count)
 }
 
-/** The receiver hears of its own suspicion first of all: only it can refute. */
+/** Puts a suspicion of the receiver first, because only the receiver can refute it. */
 function withSuspicionOf (receiver: Incarnation, chosen: readonly Belief[], beliefs: ReadonlyMap<Incarnation, Belief>): Belief[] {
   const others = chosen.filter((belief) => belief.claim.about !== receiver)
   const own = beliefs.get(receiver)
--- a/src/membership/view.ts
+++ b/src/membership/view.ts
@@ -1,7 +1,9 @@
 /**
- * The nodes that one node knows. Changes carry the key-value service's revision, which orders them
- * for everybody: a node that knows them up to a revision gets the rest from any peer that is ahead,
- * so a wave of changes is read from the service by its few watchers alone.
+ * View of all entry nodes at one node.
+ *
+ * Changes carry the revision of the key-value service, which gives them the same order at every node. A node that knows
+ * all changes up to a revision can get the following ones from any peer that is ahead. Only the few watchers therefore
+ * read changes from the service.
  */
 import type { Milliseconds } from '../clock.js'
 import { HOUR, MINUTE, SECOND } from '../clock.js'
@@ -9,152 +11,161 @@
 import { score } from './rendezvous.js'
 import type { NodeRecord, PeerState, ViewChange, ViewChanges } from './types.js'
 
-/** The view and what changes it. */
+/** The view of one node. */
 export interface MembershipView {
-  /** Records of all nodes that are not gone, this one included. */
+  /** Records of all nodes that are not gone, including this one. */
   nodes (): readonly NodeRecord[]
   find (incarnation: Incarnation): NodeRecord | undefined
   stateOf (incarnation: Incarnation): PeerState
   /**
-   * Nodes that went without a word: their lease lapsed, they had not been leaving, and no new life of
-   * their instance has been seen. They are dead, or cut off and still serving.
+   * Nodes that disappeared without leaving: their lease expired, and no newer incarnation of their instance has been
+   * seen. They are dead, or disconnected and still serving.
    */
-  unheard (now: Milliseconds): readonly NodeRecord[]
+  vanished (now: Milliseconds): readonly NodeRecord[]
   /** Revision up to which the view is complete. */
   seen (): number
   /**
-   * Hash of the records that the service holds, as far as this node knows. Two complete views of one
-   * revision that differ in it are not equal: one of them has missed a change.
+   * Hash of the records that the service stores, as far as this node knows. If two views that are complete up to the
+   * same revision have different digests, one of them has missed a change.
    */
   digest (): number
-  /** Rises whenever {@link MembershipView.nodes} changes. */
+  /** Increases whenever {@link MembershipView.nodes} changes. */
   version (): number
-  /** Takes a complete listing of the service at a revision. */
-  replace (records: readonly Stamped[], revision: number, now: Milliseconds): void
-  /** Takes consecutive changes, from a watch or a peer; a list with a gap before it is left alone. */
+  /** Applies a complete listing of the service at a revision. Older listings than the view are ignored. */
+  replace (records: readonly RevisionedRecord[], revision: number, now: Milliseconds): void
+  /** Applies consecutive changes from a watch or a peer. A list that leaves a gap after the view is ignored. */
   merge (changes: ViewChanges, now: Milliseconds): void
-  /** Takes a record that its own node sent, while the service may not hold it. */
+  /** Adds a record received from the node that it describes. The service may not have stored it yet. */
   introduce (record: NodeRecord, now: Milliseconds): void
-  /** Changes after a revision, at most `limit`; undefined when they are not kept any more. */
+  /**
+   * Changes after a revision. Undefined if they are no longer kept.
+   *
+   * @param limit maximum number of changes. It is exceeded if several changes have the last revision.
+   */
   changesAfter (revision: number, limit: number): ViewChanges | undefined
   /**
-   * Lets lapsed records go once their grace is over.
+   * Removes lapsed records when their grace period has ended.
    *
-   * @param isDown whether peers can't reach a node either
+   * @param isDown whether a node cannot be reached by peers either
    */
-  settle (now: Milliseconds, isDown: (incarnation: Incarnation) => boolean): void
+  removeLapsed (now: Milliseconds, isDown: (incarnation: Incarnation) => boolean): void
   /** Replaces this node's own record. */
   setOwn (record: NodeRecord): void
 }
 
 /** A record with the revision at which the service stored it. */
-export interface Stamped {
+export interface RevisionedRecord {
   readonly record: NodeRecord
   readonly revision: number
 }
 
 /**
- * A record whose key vanished stays this long. After an outage of the key-value service every lease
- * has lapsed at once although the nodes are well; the grace lets them register again, which takes a
- * renewal's time and the way through peers, before anyone takes them for gone.
+ * Time for which a record is kept after its key has disappeared.
+ *
+ * Failure guarded against: after an outage of the key-value service all leases have expired, although the nodes are
+ * healthy. Within the grace period the nodes register again, which takes a renewal interval and the distribution of the
+ * changes, and no node regards them as gone.
  */
 export const LAPSE_GRACE: Milliseconds = MINUTE
 
-/** The same for a node that peers can't reach either. */
-export const LAPSE_GRACE_DOWN: Milliseconds = 20 * SECOND
+/** Grace period for a node that peers cannot reach either. */
+export const LAPSE_GRACE_UNREACHABLE: Milliseconds = 20 * SECOND
 
-/** A record that only its own node has told of, and that the service never held, stays this long. */
-const INTRODUCTION_TIME: Milliseconds = 10 * MINUTE
+/** Time for which a record is kept that was only received from its own node and never stored by the service. */
+const INTRODUCTION_LIFETIME: Milliseconds = 10 * MINUTE
 
-/** Nodes that went without a word are told of for this long; regions lose each other for an hour. */
-const UNHEARD_TIME: Milliseconds = 2 * HOUR
+/** Time for which a vanished node is reported. It exceeds the hour for which regions may be disconnected. */
+const VANISHED_RETENTION: Milliseconds = 2 * HOUR
 
-/** Deletions kept for peers that are behind: eleven days' worth of an ordinary fleet of 370. */
-const DELETIONS_KEPT = 2_048
+/** Maximum number of deletions kept for peers that are behind. Enough for eleven days of an ordinary fleet of 370 nodes. */
+const MAX_DELETIONS = 2_048
 
-/** Incarnations remembered as gone. */
-const GONE_KEPT = 4_096
+/** Maximum number of incarnations recorded as gone. */
+const MAX_GONE = 4_096
 
-interface Known {
+interface KnownNode {
   readonly record: NodeRecord
-  /** 0 while only the node itself has told of it. */
+  /** Revision of the record at the service. 0 if it was only received from the node itself. */
   readonly revision: number
-  /** When the node itself last told of it. */
+  /** Time at which the record was last received from the node itself. */
   introducedAt: Milliseconds
-  /** When its key vanished. */
+  /** Time at which its key disappeared from the service. */
   lapsedAt: Milliseconds | undefined
 }
 
 /**
- * @param own this node's record; it is always part of the view
+ * Creates a view that contains only this node.
+ *
+ * @param own record of this node, which is always part of the view
  * @example
  * const view = createMembershipView(record)
  * view.replace(listing, revision, clock.now())
  */
 export function createMembershipView (own: NodeRecord): MembershipView {
-  const known = new Map<Incarnation, Known>()
+  const known = new Map<Incarnation, KnownNode>()
   const gone = new Set<Incarnation>()
-  const unheard = new Map<Incarnation, { record: NodeRecord, at: Milliseconds }>()
+  const vanished = new Map<Incarnation, { record: NodeRecord, at: Milliseconds }>()
   let ownRecord = own
   const deletions: Array<{ incarnation: Incarnation, revision: number }> = []
-  /** Deletions up to this revision have been dropped from the list. */
-  let forgottenUpTo = 0
+  /** Revision up to which deletions have been dropped from the list. */
+  let deletionsDroppedUpTo = 0
   let seen = 0
   let version = 1
-  let digested: number | undefined
-  let listed: { version: number, nodes: readonly NodeRecord[] } | undefined
+  let cachedDigest: number | undefined
+  let cachedList: { version: number, nodes: readonly NodeRecord[] } | undefined
 
   function put (record: NodeRecord, revision: number, introducedAt = -Infinity): void {
     const before = known.get(record.incarnation)
     if (before !== undefined && before.revision > revision) return
     known.set(record.incarnation, { record, revision, introducedAt, lapsedAt: undefined })
     gone.delete(record.incarnation)
-    for (const [incarnation, other] of unheard) if (other.record.instance === record.instance) unheard.delete(incarnation)
-    dropReplaced(record.instance)
+    for (const [incarnation, other] of vanished) if (other.record.instance === record.instance) vanished.delete(incarnation)
+    removeReplaced(record.instance)
     version += 1
-    digested = undefined
+    cachedDigest = undefined
   }
 
-  /** An instance runs one process: a newer incarnation on it proves the older ones gone. */
-  function dropReplaced (instance: InstanceName): void {
-    const lives = [...known.values()].filter((entry) => entry.record.instance === instance)
-    const latest = Math.max(...lives.map((entry) => entry.revision))
-    // A life that only told of itself has no place in the order yet.
-    for (const life of lives) if (life.revision > 0 && life.revision < latest) forget(life.record.incarnation)
+  /** Removes older incarnations of an instance. An instance runs one process, so a newer incarnation replaces them. */
+  function removeReplaced (instance: InstanceName): void {
+    const ofInstance = [...known.values()].filter((entry) => entry.record.instance === instance)
+    const latest = Math.max(...ofInstance.map((entry) => entry.revision))
+    // An incarnation without a revision cannot be ordered yet, so it is kept.
+    for (const older of ofInstance) if (older.revision > 0 && older.revision < latest) remove(older.record.incarnation)
   }
 
+  /** Records that the key of a node has disappeared. A leaving node is removed at once, others after the grace period. */
   function lapse (incarnation: Incarnation, revision: number, now: Milliseconds): void {
     const entry = known.get(incarnation)
     if (entry !== undefined && entry.revision > revision) return
-    // Kept although this node may never have known the record: a peer that asks may.
+    // The deletion is kept even if this node never knew the record, because a peer that asks for changes may know it.
     keepDeletion(incarnation, revision)
-    digested = undefined
+    cachedDigest = undefined
     if (entry === undefined) return
-    if (entry.record.leaving) return forget(incarnation)
+    if (entry.record.leaving) return remove(incarnation)
     entry.lapsedAt ??= now
   }
 
   function keepDeletion (incarnation: Incarnation, revision: number): void {
     deletions.push({ incarnation, revision })
-    if (deletions.length <= DELETIONS_KEPT) return
+    if (deletions.length <= MAX_DELETIONS) return
     deletions.sort((left, right) => left.revision - right.revision)
-    const dropped = deletions.splice(0, deletions.length - DELETIONS_KEPT)
-    forgottenUpTo = dropped.at(-1)?.revision ?? forgottenUpTo
+    const dropped = deletions.splice(0, deletions.length - MAX_DELETIONS)
+    deletionsDroppedUpTo = dropped.at(-1)?.revision ?? deletionsDroppedUpTo
   }
 
-  function forget (incarnation: Incarnation): void {
+  function remove (incarnation: Incarnation): void {
     if (!known.delete(incarnation)) return
-    digested = undefined
+    cachedDigest = undefined
     gone.add(incarnation)
-    if (gone.size > GONE_KEPT) gone.delete(gone.values().next().value as Incarnation)
+    if (gone.size > MAX_GONE) gone.delete(gone.values().next().value as Incarnation)
     version += 1
   }
 
   function list (): readonly NodeRecord[] {
-    if (listed?.version === version) return listed.nodes
+    if (cachedList?.version === version) return cachedList.nodes
     const others = [...known.values()].filter((entry) => entry.record.incarnation !== ownRecord.incarnation)
-    listed = { version, nodes: [ownRecord, ...others.map((entry) => entry.record)] }
-    return listed.nodes
+    cachedList = { version, nodes: [ownRecord, ...others.map((entry) => entry.record)] }
+    return cachedList.nodes
   }
 
   function find (incarnation: Incarnation): NodeRecord | undefined {
@@ -167,8 +178,8 @@
     seen: () => seen,
     version: () => version,
     digest: () => {
-      digested ??= digestOf(known)
-      return digested
+      cachedDigest ??= digestOf(known)
+      return cachedDigest
     },
     stateOf: (incarnation) => {
       const record = find(incarnation)
@@ -177,8 +188,8 @@
     },
     replace: (records, revision, now) => {
       if (revision < seen) return
-      const present = new Set(records.map((stamped) => stamped.record.incarnation))
-      for (const stamped of records) put(stamped.record, stamped.revision)
+      const present = new Set(records.map((listed) => listed.record.incarnation))
+      for (const listed of records) put(listed.record, listed.revision)
       for (const [incarnation, entry] of known) {
         if (!present.has(incarnation) && entry.revision > 0) lapse(incarnation, revision, now)
       }
@@ -199,18 +210,18 @@
       else before.introducedAt = now
     },
     changesAfter: (revision, limit) => {
-      if (revision > 0 && revision < forgottenUpTo) return undefined
+      if (revision > 0 && revision < deletionsDroppedUpTo) return undefined
       return changesAfter(known, deletions, revision, seen, limit)
     },
-    unheard: (now) => [...unheard.values()].filter((item) => now - item.at < UNHEARD_TIME).map((item) => item.record),
-    settle: (now, isDown) => {
-      for (const [incarnation, item] of unheard) if (now - item.at >= UNHEARD_TIME) unheard.delete(incarnation)
+    vanished: (now) => [...vanished.values()].filter((item) => now - item.at < VANISHED_RETENTION).map((item) => item.record),
+    removeLapsed: (now, isDown) => {
+      for (const [incarnation, item] of vanished) if (now - item.at >= VANISHED_RETENTION) vanished.delete(incarnation)
       for (const [incarnation, entry] of known) {
-        const grace = isDown(incarnation) ? LAPSE_GRACE_DOWN : LAPSE_GRACE
+        const grace = isDown(incarnation) ? LAPSE_GRACE_UNREACHABLE : LAPSE_GRACE
         const lapsed = entry.lapsedAt !== undefined && now - entry.lapsedAt >= grace
-        if (lapsed) unheard.set(incarnation, { record: entry.record, at: now })
-        const forgotten = entry.revision === 0 && now - entry.introducedAt >= INTRODUCTION_TIME
-        if (lapsed || forgotten) forget(incarnation)
+        if (lapsed) vanished.set(incarnation, { record: entry.record, at: now })
+        const isIntroductionExpired = entry.revision === 0 && now - entry.introducedAt >= INTRODUCTION_LIFETIME
+        if (lapsed || isIntroductionExpired) remove(incarnation)
       }
     },
     setOwn: (record) => {
@@ -220,7 +231,8 @@
   }
 }
 
-function digestOf (known: ReadonlyMap<Incarnation, Known>): number {
+/** Hash of the records that the service stores, independent of their order. */
+function digestOf (known: ReadonlyMap<Incarnation, KnownNode>): number {
   let digest = 0
   for (const [incarnation, entry] of known) {
     if (entry.revision > 0 && entry.lapsedAt === undefined) digest ^= score('view', incarnation)
@@ -228,7 +240,7 @@
   return digest >>> 0
 }
 
-function changesAfter (known: ReadonlyMap<Incarnation, Known>, deletions: ReadonlyArray<{ incarnation: Incarnation, revision: number }>, after: number, seen: number, limit: number): ViewChanges {
+function changesAfter (known: ReadonlyMap<Incarnation, KnownNode>, deletions: ReadonlyArray<{ incarnation: Incarnation, revision: number }>, after: number, seen: number, limit: number): ViewChanges {
   const puts: ViewChange[] = [...known.values()]
     .filter((entry) => entry.revision > after)
     .map((entry) => ({ kind: 'put', revision: entry.revision, record: entry.record }))
@@ -236,13 +248,16 @@
     .filter((deletion) => deletion.revision > after)
     .map((deletion) => ({ kind: 'delete', ...deletion }))
   const changes = [...puts, ...deletes].sort((left, right) => left.revision - right.revision)
-  const taken = takeWhole(changes, limit)
+  const taken = takeWholeRevisions(changes, limit)
   const upTo = taken.length === changes.length ? Math.max(after, seen) : taken.at(-1)?.revision ?? after
   return { after, upTo, changes: taken }
 }
 
-/** A listing stamps several losses with one revision; those are never parted. */
-function takeWhole (changes: readonly ViewChange[], limit: number): ViewChange[] {
+/**
+ * The first changes up to a limit, and all further ones with the same revision as the last of these. A listing assigns one
+ * revision to all deletions that it reveals. If these were split, the receiver would miss the rest.
+ */
+function takeWholeRevisions (changes: readonly ViewChange[], limit: number): ViewChange[] {
   const last = changes[limit - 1]?.revision
   if (last === undefined) return [...changes]
   return changes.filter((change, index) => index < limit || change.revision === last)
--- a/src/peer/agreement.ts
+++ b/src/peer/agreement.ts
@@ -5,7 +5,7 @@
 import * as z from 'zod'
 import { configurationRevisionSchema } from '../configuration/index.js'
 import { addressSchema, incarnationSchema } from '../identifiers.js'
-import { MOST_RUMOURS, nodeRecordSchema, rumourSchema, viewChangesSchema } from '../membership/index.js'
+import { MAX_RUMOURS, nodeRecordSchema, rumourSchema, viewChangesSchema } from '../membership/index.js'
 import { peerProcedure, peerRouter } from './procedure.js'
 
 /** What one node tells another, as question and as answer. */
@@ -17,7 +17,7 @@
   seen: z.number().int().nonnegative(),
   /** Hash of that view; two nodes that have seen the same must have the same. */
   digest: z.number().int().nonnegative(),
-  rumours: z.array(rumourSchema).max(MOST_RUMOURS),
+  rumours: z.array(rumourSchema).max(MAX_RUMOURS),
   /** The sender's own record, while the key-value service may not hold it. */
   record: nodeRecordSchema.optional(),
   /** Membership changes after the other's `seen`; only in answers. */
--- a/src/quarantine/index.ts
+++ b/src/quarantine/index.ts
@@ -1,3 +1,3 @@
-/** Requests that crash upstreams, found and refused. */
-export { ANSWERED, createQuarantine, MOST_BROKEN_RUNS } from './quarantine.js'
+/** Detection and refusal of requests that crash upstreams. */
+export { ANSWERED, createQuarantine, MAX_BROKEN_RUNS } from './quarantine.js'
 export type { BrokenRuns, Quarantine } from './quarantine.js'
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -1,87 +1,94 @@
 /**
- * Requests that crash the upstreams which run them, known by a fingerprint of what callers send again:
- * path, organisation and body.
+ * Quarantine of requests that crash upstreams. A request is identified by a fingerprint of the data that a caller
+ * repeats when it retries: path, organisation and body.
  *
- * Failure guarded against: such a request comes again and again, at any node, and each time costs an
- * upstream with all that it runs. Broken runs of one fingerprint are counted over all nodes; after the
- * third the fingerprint is refused. What else was running when an upstream crashed is counted as well,
- * but a whole answer anywhere clears it, and a culprit has none.
+ * Failure guarded against: a caller retries such a request at any node, and each attempt crashes an upstream together
+ * with all requests that run there. Attempts that end with a broken connection are counted by fingerprint over all
+ * nodes. After the third the fingerprint is refused. Requests that merely ran at a crashed upstream are counted as
+ * well, but one complete answer at any node clears them. A request that crashes upstreams never gets one.
  */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 
-/** Broken runs by fingerprint, {@link ANSWERED} for one that was answered whole. */
+/** Number of broken runs by fingerprint, or {@link ANSWERED} after a complete answer. Exchanged between nodes. */
 export type BrokenRuns = Readonly<Record<string, number>>
 
-/** Fingerprints at one node. */
+/** The fingerprints that one node knows. */
 export interface Quarantine {
-  /** A run of it ended with a broken connection. */
+  /** Records that an attempt ended with a broken connection. */
   broken (fingerprint: string, now: Milliseconds): void
-  /** It was answered whole. */
+  /** Records a complete answer. */
   answered (fingerprint: string, now: Milliseconds): void
+  /** Whether requests with the fingerprint are refused. */
   isRefused (fingerprint: string, now: Milliseconds): boolean
-  /** What this node tells the others. */
+  /** Counts of this node, to be reported to other nodes. */
   own (now: Milliseconds): BrokenRuns
-  /** What the other nodes have told, dead ones included while they are remembered. */
+  /** Replaces the counts that other nodes have reported, including dead nodes whose reports are still kept. */
   observe (others: readonly BrokenRuns[]): void
 }
 
-/** Stands for "answered whole" in place of a count. */
+/** Value in place of a count for a fingerprint with a complete answer. */
 export const ANSWERED = -1
 
-/** Broken runs after which a fingerprint is refused. Two may be an innocent's bad luck: reclaims come in waves. */
-export const MOST_BROKEN_RUNS = 3
+/**
+ * Number of broken runs after which a fingerprint is refused. Reclaims come in waves, so a harmless request may have
+ * two broken runs.
+ */
+export const MAX_BROKEN_RUNS = 3
 
-/** A fingerprint is forgotten after this time without news; callers that send it again do so within seconds. */
-const REMEMBERED: Milliseconds = 60 * SECOND
+/** Time after the last change for which a fingerprint is kept. Callers that retry do so within seconds. */
+const RETENTION: Milliseconds = 60 * SECOND
 
-/** Fingerprints that a node remembers; beyond it the ones longest untouched are forgotten. */
-const MOST_FINGERPRINTS = 300
+/** Maximum number of fingerprints kept. The least recently updated ones are evicted beyond it. */
+const MAX_FINGERPRINTS = 300
 
-interface Runs {
+/** Broken runs of one fingerprint and the time of the last update. */
+interface RunCount {
   count: number
   at: Milliseconds
 }
 
 /**
+ * Creates an empty quarantine.
+ *
  * @example
  * const quarantine = createQuarantine()
  * quarantine.broken(fingerprint, clock.now())
  */
 export function createQuarantine (): Quarantine {
-  const runs = new Map<string, Runs>()
-  let told: readonly BrokenRuns[] = []
+  const runs = new Map<string, RunCount>()
+  let reported: readonly BrokenRuns[] = []
 
-  function forget (now: Milliseconds): void {
+  function evictExpired (now: Milliseconds): void {
     for (const [fingerprint, { at }] of runs) {
-      if (now - at < REMEMBERED && runs.size <= MOST_FINGERPRINTS) return
+      if (now - at < RETENTION && runs.size <= MAX_FINGERPRINTS) return
       runs.delete(fingerprint)
     }
   }
 
-  /** Puts a fingerprint at the end, so that the map is in order of the last touch. */
+  /** Sets a count and moves the fingerprint to the end of the map, which is ordered by the last update. */
   function touch (fingerprint: string, count: number, now: Milliseconds): void {
     runs.delete(fingerprint)
     runs.set(fingerprint, { count, at: now })
-    forget(now)
+    evictExpired(now)
   }
 
   return {
     broken: (fingerprint, now) => touch(fingerprint, Math.max(0, runs.get(fingerprint)?.count ?? 0) + 1, now),
     answered: (fingerprint, now) => {
-      const isKnown = runs.has(fingerprint) || told.some((other) => other[fingerprint] !== undefined)
+      const isKnown = runs.has(fingerprint) || reported.some((other) => other[fingerprint] !== undefined)
       if (isKnown) touch(fingerprint, ANSWERED, now)
     },
     isRefused: (fingerprint, now) => {
-      forget(now)
-      const counts = [runs.get(fingerprint)?.count ?? 0, ...told.map((other) => other[fingerprint] ?? 0)]
+      evictExpired(now)
+      const counts = [runs.get(fingerprint)?.count ?? 0, ...reported.map((other) => other[fingerprint] ?? 0)]
       if (counts.includes(ANSWERED)) return false
-      return counts.reduce((sum, count) => sum + count, 0) >= MOST_BROKEN_RUNS
+      return counts.reduce((sum, count) => sum + count, 0) >= MAX_BROKEN_RUNS
     },
     own: (now) => {
-      forget(now)
+      evictExpired(now)
       return Object.fromEntries([...runs].map(([fingerprint, { count }]) => [fingerprint, count]))
     },
-    observe: (others) => { told = others }
+    observe: (others) => { reported = others }
   }
 }
--- a/src/routing/index.ts
+++ b/src/routing/index.ts
@@ -1,5 +1,5 @@
-/** Routes, services and organisations that operators configured for forwarded requests. */
-export type { CallerLimits, Destination, Organisation, Quota, RequestKind, Route, RoutingConfiguration, ScalingFacts, Service } from './types.js'
+/** Configuration of routes, services and organisations, and the lookups that forwarding needs. */
+export type { CallerLimits, Destination, Organisation, Quota, RequestKind, Route, RoutingConfiguration, ScalingConfiguration, Service } from './types.js'
 export { createRouteTable, supersedes } from './table.js'
 export type { RouteTable } from './table.js'
 export { chooseService } from './split.js'
--- a/src/routing/split.ts
+++ b/src/routing/split.ts
@@ -1,11 +1,12 @@
-/** Choice of a route's service where several share its requests. */
+/** Weighted choice between the services of a route that splits its traffic. */
 import type { Random } from '../random.js'
 import type { Destination, Route } from './types.js'
 
 /**
- * Draws a service by weight.
+ * Selects one of the route's services at random, in proportion to the weights. If all weights are 0, the first
+ * service is selected.
  *
- * @returns undefined for a route without destinations
+ * @returns the name of the service, or undefined for a route without destinations
  * @example
  * chooseService(route, random) // 'plans'
  */
@@ -13,10 +14,10 @@
   const total = route.destinations.reduce((sum, destination) => sum + destination.weight, 0)
   const first: Destination | undefined = route.destinations[0]
   if (total <= 0) return first?.service
-  let left = random.fraction() * total
+  let remaining = random.fraction() * total
   for (const destination of route.destinations) {
-    left -= destination.weight
-    if (left < 0) return destination.service
+    remaining -= destination.weight
+    if (remaining < 0) return destination.service
   }
   return first?.service
 }
--- a/src/routing/table.ts
+++ b/src/routing/table.ts
@@ -1,18 +1,21 @@
-/** Lookup of routes, keys and services of one configuration. */
+/** Lookup of routes, services and organisations in one version of the configuration. */
 import type { Organisation, Route, RoutingConfiguration, Service } from './types.js'
 
-/** A configuration, indexed. */
+/** An index over one version of the configuration. */
 export interface RouteTable {
   readonly configuration: RoutingConfiguration
-  /** The route with the longest prefix that begins the path, among those of the host. */
+  /** The route of the host with the longest prefix of the path. Undefined if no route matches. */
   route (host: string, path: string): Route | undefined
   service (name: string): Service | undefined
-  /** Whether requests of routes that are not anonymous need a key. */
+  /** Whether requests need an API key, except on anonymous routes. */
   readonly needsKeys: boolean
+  /** The organisation that owns the API key. */
   organisation (key: string): Organisation | undefined
 }
 
 /**
+ * Builds the index of a configuration.
+ *
  * @example
  * createRouteTable(configuration).route('api.example', '/plans/7?x=1')?.name
  */
@@ -38,18 +41,18 @@
 }
 
 /**
- * Whether a configuration takes the place of the one in force: only a higher version does, so that a
- * late answer of the store or of a peer never brings an older one back.
+ * Whether a received configuration replaces the current one. Only a higher version does. A delayed response of the
+ * store or of another node therefore never restores an older configuration.
  *
  * @example
  * supersedes(7, undefined) // true
  * supersedes(6, 7) // false
  */
-export function supersedes (version: number, inForce: number | undefined): boolean {
-  return inForce === undefined || version > inForce
+export function supersedes (version: number, currentVersion: number | undefined): boolean {
+  return currentVersion === undefined || version > currentVersion
 }
 
-/** Walks from the whole path towards the root, one slash at a time. */
+/** Finds the longest matching prefix by removing one path segment at a time. */
 function findRoute (prefixes: Map<string, Route> | undefined, path: string): Route | undefined {
   if (prefixes === undefined) return undefined
   for (let end = path.lastIndexOf('/'); end >= 0; end = end === 0 ? -1 : path.lastIndexOf('/', end - 1)) {
@@ -59,13 +62,13 @@
   return undefined
 }
 
-/** Host names are compared without port and case (RFC 9110, 4.2.3). */
+/** Host name without its port and in lower case, for comparison (RFC 9110, 4.2.3). */
 function hostName (host: string): string {
   const colon = host.indexOf(':')
   return (colon < 0 ? host : host.slice(0, colon)).toLowerCase()
 }
 
 function withoutQuery (path: string): string {
-  const mark = path.indexOf('?')
-  return mark < 0 ? path : path.slice(0, mark)
+  const queryStart = path.indexOf('?')
+  return queryStart < 0 ? path : path.slice(0, queryStart)
 }
--- a/src/routing/types.ts
+++ b/src/routing/types.ts
@@ -1,104 +1,116 @@
-/** What operators configured for forwarded requests, in the product's own terms. */
+/**
+ * Configuration of forwarded requests.
+ *
+ * The types are independent of the format in which operators write the configuration.
+ */
 import type { Milliseconds } from '../clock.js'
 
 /**
- * How often a request may run.
+ * How often a request of a route may be executed.
  *
  * - `idempotent`: any number of times
- * - `once`: at most once for each request of a caller
- * - `stream`: at most once; a resumable route may go on elsewhere after the last event that was passed on
+ * - `once`: at most once per request of a caller
+ * - `stream`: at most once. If the route is resumable, another upstream may continue the stream after the last event
+ *   that was relayed to the caller.
  */
 export type RequestKind = 'idempotent' | 'once' | 'stream'
 
-/** A service that takes a share of a route's requests. */
+/** A service that receives a share of a route's requests. */
 export interface Destination {
   readonly service: string
-  /** Relative to the sum over the route's destinations. */
+  /** Share of the requests, relative to the sum of the weights of all destinations of the route. */
   readonly weight: number
 }
 
-/** One route. The longest prefix of a host that begins the path wins. */
+/** One route. A request uses the route of its host with the longest prefix of its path. */
 export interface Route {
   readonly name: string
   readonly host: string
-  /** Begins and ends with a slash. */
+  /** Path prefix, with a slash at both ends. */
   readonly prefix: string
   readonly kind: RequestKind
-  /** A stream of it may be resumed after its last event. */
+  /** Whether a broken stream may be resumed at another upstream after its last event. */
   readonly resumable: boolean
-  /** Longest time that a caller is kept waiting for the whole answer. */
+  /** Maximum time from the arrival of a request to the end of its answer. */
   readonly timeLimit: Milliseconds
-  /** Time within which an answer, or a stream's first event, is on time. */
+  /** Latency target for the answer, or for the first event of a stream. */
   readonly target: Milliseconds
-  /** Longest pause between two events of a stream that is still on time. */
-  readonly longestPause: Milliseconds
-  /** Most upstreams that one request is sent to. */
-  readonly mostAttempts: number
-  /** Rank, 0 is the most urgent. */
+  /** Target for the pause between two events of a stream. */
+  readonly maxPause: Milliseconds
+  /** Maximum number of attempts for one request, each at another upstream. */
+  readonly maxAttempts: number
+  /** Priority of the requests. 0 is the most urgent. */
   readonly priority: number
-  /** Needs no key. */
+  /** Whether requests need no API key. */
   readonly anonymous: boolean
   readonly destinations: readonly Destination[]
 }
 
-/** Bounds and prices of a service whose size the system orders. */
-export interface ScalingFacts {
-  /** Fewest and most upstreams in a failure domain, both kinds together. */
-  readonly least: number
-  readonly most: number
+/** Bounds and prices of a service whose number of upstreams is scaled automatically. */
+export interface ScalingConfiguration {
+  /** Minimum number of upstreams per failure domain, reclaimable and on-demand ones together. */
+  readonly minUpstreams: number
+  /** Maximum number of upstreams per failure domain. */
+  readonly maxUpstreams: number
+  /** Time from the order of an upstream until it serves requests. */
   readonly bootTime: Milliseconds
-  /** Price of a reclaimable upstream relative to another; undefined where there are none. */
+  /** Price of a reclaimable upstream relative to an on-demand one. Undefined if the service has no reclaimable upstreams. */
   readonly reclaimablePrice: number | undefined
-  /** Price of an upstream's second by failure domain. */
+  /** Price of an upstream per second, by failure domain. */
   readonly prices: Readonly<Record<string, number>>
 }
 
-/** One service. */
+/** One service. Its upstreams are interchangeable. */
 export interface Service {
   readonly name: string
-  /** Most connections that one upstream accepts from all callers together. */
-  readonly mostConnections: number
-  /** Its upstreams are model engines, which read prompts before they answer. */
+  /** Maximum number of connections that one upstream accepts from all clients together. */
+  readonly maxConnections: number
+  /** Whether the upstreams are model engines, which prefill a prompt before they answer. */
   readonly hasEngines: boolean
-  /** A run's memory can be moved to another of its upstreams, where the run goes on. */
-  readonly movesRuns: boolean
-  readonly scaling: ScalingFacts | undefined
+  /** Whether a running request can continue at another upstream with its key-value cache. */
+  readonly canMoveRuns: boolean
+  /** Undefined if the number of upstreams is not scaled automatically. */
+  readonly scaling: ScalingConfiguration | undefined
 }
 
-/** What an organisation may use over all nodes together; a rate of 0 is no limit. */
+/** Quota of an organisation over all nodes together. A rate of 0 means no limit. */
 export interface Quota {
   readonly unit: 'requests' | 'tokens'
-  /** Units a second. */
+  /** Units per second. */
   readonly rate: number
-  /** Units that may come at once beyond the rate. */
+  /** Units that may be used at once in excess of the rate. */
   readonly burst: number
-  /** Units of a request that names no tokens. */
+  /** Units charged for a request that states no number of tokens. */
   readonly plainCost: number
 }
 
-/** One organisation with its keys. */
+/** One organisation with its API keys. */
 export interface Organisation {
   readonly name: string
   readonly keys: readonly string[]
-  /** Goes before the route's. */
+  /** Overrides the priority of the route. */
   readonly priority: number | undefined
   readonly quota: Quota
 }
 
-/** Bounds on what a caller may send. */
+/** Limits for requests and connections of callers. */
 export interface CallerLimits {
+  /** Maximum size of a request's header. */
   readonly headerBytes: number
+  /** Maximum size of a request's body. */
   readonly bodyBytes: number
-  readonly headerTime: Milliseconds
-  readonly idleTime: Milliseconds
+  /** Time within which the header must have been received. */
+  readonly headerTimeout: Milliseconds
+  /** Time after which an idle connection is closed. */
+  readonly idleTimeout: Milliseconds
 }
 
-/** The operators' configuration in one version. */
+/** One version of the configuration. */
 export interface RoutingConfiguration {
   readonly version: number
   readonly routes: readonly Route[]
   readonly services: readonly Service[]
-  /** Undefined: nobody needs a key. */
+  /** Undefined if requests need no API key. */
   readonly organisations: readonly Organisation[] | undefined
   readonly limits: CallerLimits
 }
--- a/src/scaling/index.ts
+++ b/src/scaling/index.ts
@@ -1,9 +1,9 @@
-/** Size of services whose upstreams the system orders: how many, where, reclaimable or not. */
-export type { OfferedWork, Pool, PoolSize, PresentUpstream, ScalingSituation } from './types.js'
-export { busyEngines, expectedEngines, createLoadFollower, sumWork } from './load.js'
-export type { LoadFollower } from './load.js'
-export { addBeside, planPools } from './plan.js'
-export { createOrderBook } from './orders.js'
-export type { OrderAnswer, OrderBook } from './orders.js'
+/** Automatic scaling of services: number of upstreams per failure domain, reclaimable and on-demand. */
+export type { OfferedWork, Pool, PoolSize, PresentUpstream, ScalingInput } from './types.js'
+export { offeredLoad, expectedLoad, createLoadEstimator, sumWork } from './load.js'
+export type { LoadEstimator } from './load.js'
+export { addOtherVersions, planPools } from './plan.js'
+export { createOrderTracker } from './orders.js'
+export type { OrderAnswer, OrderTracker } from './orders.js'
 export { createWorkMeter } from './work-meter.js'
 export type { WorkMeter } from './work-meter.js'
--- a/src/scaling/load.ts
+++ b/src/scaling/load.ts
@@ -1,111 +1,115 @@
-/** From offered work to the number of engines that it keeps busy, followed up quickly and down slowly. */
+/** Load of a service, in engines that the offered work keeps busy. The estimate rises quickly and falls slowly. */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { OfferedWork } from './types.js'
 
-/** Part of a request's most generated tokens that is generated on average. */
-const GENERATED_PART = 0.6
+/** Mean fraction of the permitted tokens of an answer that is actually generated. */
+const GENERATED_FRACTION = 0.6
 
-/** Time of one generated token: a step of some 3 ms, with the prompts that are read in between. */
-const PER_GENERATED_TOKEN: Milliseconds = 5
+/** Time per generated token: a decoding step of about 3 ms and the prefill that runs between two steps. */
+const TIME_PER_GENERATED_TOKEN: Milliseconds = 5
 
-/** Part of an engine's places that streams may take on average, so that a peak finds places. */
-const USED_PLACES = 0.5
+/** Fraction of an engine's slots that streams may occupy on average. The rest is kept for peaks. */
+const TARGET_SLOT_UTILISATION = 0.5
 
 /**
- * Engines that the work keeps busy all the time.
+ * Number of engines that the offered work keeps busy.
  *
- * Reading is what keeps them: each token of a prompt takes its own time, while a step generates one for every stream
- * of the batch, and the reading as it is observed has the steps between its parts in it already. Streams need engines
- * of their own only where they would fill the batches. Counted by a sixteenth of a step, generated tokens were half of
- * the load of a customer with long answers, and the fleet too large by that: mean worth of six days 0.501 with it and
- * 0.530 without (processor time not counted).
+ * Prefill dominates: each token of a prompt takes time of its own, whereas one decoding step generates a token for
+ * every stream of the batch. The observed prefill time already includes the decoding steps between its chunks.
+ * Generated tokens therefore count only where streams would fill the batches. With a sixteenth of a step charged per
+ * generated token, generation made up half of the load of an organisation with long answers and the fleet was too
+ * large: the mean score of six test days was 0.501 with the charge and 0.530 without (processor time not counted).
  *
- * @param slots requests that an engine runs at once
+ * @param slots requests that an engine runs concurrently
  * @example
- * busyEngines({ requests: 40, reading: 2_900, generatedTokens: 5_000 }, 64) // 2.9
+ * offeredLoad({ requests: 40, reading: 2_900, generatedTokens: 5_000 }, 64) // 2.9
  */
-export function busyEngines (work: OfferedWork, slots: number): number {
-  const streams = work.generatedTokens * GENERATED_PART * PER_GENERATED_TOKEN / SECOND
-  return Math.max(work.reading / SECOND, streams / (slots * USED_PLACES))
+export function offeredLoad (work: OfferedWork, slots: number): number {
+  const streams = work.generatedTokens * GENERATED_FRACTION * TIME_PER_GENERATED_TOKEN / SECOND
+  return Math.max(work.reading / SECOND, streams / (slots * TARGET_SLOT_UTILISATION))
 }
 
-/** Part of their quotas that organisations use together on a usual day. */
-const USED_QUOTA_PART = 0.45
+/** Fraction of the sum of all quotas that organisations use on an ordinary day. */
+const USED_QUOTA_FRACTION = 0.45
 
-/** What attention adds to the reading of a token, on average over prompts of some 12,000. */
+/** Factor by which attention increases the prefill time per token, for prompts of about 12,000 tokens on average. */
 const ATTENTION_FACTOR = 1.2
 
 /**
- * Engines that will be busy by what operators allow their organisations, before any work has come.
+ * Number of engines expected to be busy, derived from the quotas. Used before any work was observed.
  *
- * @param tokens a second that all quotas allow together
- * @param perThousandTokens milliseconds of reading for 1,000 tokens
+ * @param tokens tokens per second that all quotas together allow
+ * @param prefillTimePerThousandTokens prefill time for 1,000 tokens, in milliseconds
  * @example
- * expectedEngines(498_000, 16) // 4.3
+ * expectedLoad(498_000, 16) // 4.3
  */
-export function expectedEngines (tokens: number, perThousandTokens: Milliseconds): number {
-  return tokens / 1_000 * USED_QUOTA_PART * ATTENTION_FACTOR * perThousandTokens / SECOND
+export function expectedLoad (tokens: number, prefillTimePerThousandTokens: Milliseconds): number {
+  return tokens / 1_000 * USED_QUOTA_FRACTION * ATTENTION_FACTOR * prefillTimePerThousandTokens / SECOND
 }
 
 /**
- * Sum of several nodes' work.
+ * Sums the offered work of several nodes by service.
  *
  * @example
  * sumWork([own, ...others]).plans?.requests
  */
-export function sumWork (parts: readonly Readonly<Record<string, OfferedWork>>[]): Record<string, OfferedWork> {
+export function sumWork (workByNode: readonly Readonly<Record<string, OfferedWork>>[]): Record<string, OfferedWork> {
   const sum: Record<string, OfferedWork> = {}
-  for (const part of parts) {
-    for (const [service, work] of Object.entries(part)) {
-      const known = sum[service] ?? { requests: 0, reading: 0, generatedTokens: 0 }
+  for (const nodeWork of workByNode) {
+    for (const [service, work] of Object.entries(nodeWork)) {
+      const previous = sum[service] ?? { requests: 0, reading: 0, generatedTokens: 0 }
       sum[service] = {
-        requests: known.requests + work.requests,
-        reading: known.reading + work.reading,
-        generatedTokens: known.generatedTokens + work.generatedTokens
+        requests: previous.requests + work.requests,
+        reading: previous.reading + work.reading,
+        generatedTokens: previous.generatedTokens + work.generatedTokens
       }
     }
   }
   return sum
 }
 
-/** Follows a load that is measured with much noise: a prompt may be a hundred times as long as another. */
-export interface LoadFollower {
+/** Smooths a noisy load measurement. The lengths of single prompts differ by a factor of up to a hundred. */
+export interface LoadEstimator {
+  /** Adds a measured load, in busy engines. */
   observe (load: number, now: Milliseconds): void
+  /** Estimated load, in busy engines. */
   value (now: Milliseconds): number
 }
 
-/** How long a peak holds the size up: releasing an engine and booting another costs about as much as running it on. */
-const HELD: Milliseconds = 8 * SECOND
+/** Time for which a peak is provided for. Replacing an engine costs about as much as keeping it for this time. */
+const PEAK_HOLD_TIME: Milliseconds = 8 * SECOND
 
-/** Time constant of the mean. In ten seconds the longest tenth of the prompts comes often enough to be seen in it. */
-const MEAN_TIME: Milliseconds = 10 * SECOND
+/** Time constant of the mean. Within ten seconds the longest 10% of the prompts occur often enough to be represented. */
+const MEAN_TIME_CONSTANT: Milliseconds = 10 * SECOND
 
-/** Part of a peak of some seconds that is provided for: most of it is a few long prompts that came together. */
-const PEAK_PART = 0.8
+/** Fraction of a short peak that is provided for. Such a peak is mostly a coincidence of a few long prompts. */
+const PEAK_FRACTION = 0.8
 
 /**
- * The mean of some ten seconds, or most of the highest of the recent past where that is more.
+ * Creates an estimator. The estimate is the mean over about ten seconds, or a fraction of the recent peak if that is
+ * higher.
  *
- * Load pattern answered: by chance few long prompts come for some seconds after the start. A fleet that follows shrinks
- * to a third, is taken back in the next wave of reclaims, and the usual load meets what is left.
+ * Failure guarded against: by chance few long prompts arrive in the first seconds. A fleet that follows this dip shrinks
+ * to a third. The next wave of reclaims removes most of that, and too few upstreams remain for the usual load. The mean
+ * starts at the expected load and falls slowly, so a short dip does not shrink the fleet.
  *
- * @param first load that is expected before any was observed
+ * @param initial load expected before any was observed, in busy engines
  * @example
- * const follower = createLoadFollower(5.3)
- * follower.observe(3.2, clock.now())
+ * const estimator = createLoadEstimator(5.3)
+ * estimator.observe(3.2, clock.now())
  */
-export function createLoadFollower (first: number): LoadFollower {
+export function createLoadEstimator (initial: number): LoadEstimator {
   let samples: { readonly load: number, readonly at: Milliseconds }[] = []
-  let mean = first
+  let mean = initial
   let meanAt: Milliseconds | undefined
   return {
     observe: (load, now) => {
-      samples = samples.filter((sample) => now - sample.at < HELD && sample.load > load)
+      samples = samples.filter((sample) => now - sample.at < PEAK_HOLD_TIME && sample.load > load)
       samples.push({ load, at: now })
-      mean += (load - mean) * (1 - Math.exp(-(now - (meanAt ?? now)) / MEAN_TIME))
+      mean += (load - mean) * (1 - Math.exp(-(now - (meanAt ?? now)) / MEAN_TIME_CONSTANT))
       meanAt = now
     },
-    value: (now) => Math.max(mean, ...samples.filter((sample) => now - sample.at < HELD).map((sample) => sample.load * PEAK_PART))
+    value: (now) => Math.max(mean, ...samples.filter((sample) => now - sample.at < PEAK_HOLD_TIME).map((sample) => sample.load * PEAK_FRACTION))
   }
 }
--- a/src/scaling/orders.ts
+++ b/src/scaling/orders.ts
@@ -1,64 +1,75 @@
-/** Which orders are due: a pool is ordered when its size changes, and again where an answer is missing or what runs falls short. */
+/**
+ * Decides when the size of a pool is ordered from the platform: when the desired size changes, when an order was not
+ * accepted, and when too few upstreams run a while after an accepted order.
+ */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { Pool, PoolSize } from './types.js'
 
-/** Answer to an order; undefined when there was none. */
+/** The platform's answer to an order. Undefined if there was none. */
 export type OrderAnswer = 'accepted' | 'superseded' | 'unavailable' | 'refused' | undefined
 
-/** What was ordered by this holder. */
-export interface OrderBook {
-  /** Of these sizes the ones to be ordered now. */
+/** The orders that this node has sent while it holds the duty. */
+export interface OrderTracker {
+  /**
+   * Selects the sizes that are to be ordered now.
+   *
+   * @param running returns the number of upstreams of a pool that run and are not leaving
+   */
   due (sizes: readonly PoolSize[], running: (pool: Pool) => number, now: Milliseconds): PoolSize[]
+  /** Records the answer to an order. */
   answered (size: PoolSize, answer: OrderAnswer, now: Milliseconds): void
-  /** Until when a pool that gave nothing isn't asked. */
-  refusedUntil (pool: Pool): Milliseconds
-  /** Another node holds the duty: what was ordered may have changed. */
+  /** Time until which a pool is not ordered because the platform had no upstreams for it. 0 if it had. */
+  unavailableUntil (pool: Pool): Milliseconds
+  /** Forgets all orders. Called when the duty was held by another node in between, which may have ordered other sizes. */
   reset (): void
 }
 
+/** Last order of a pool. */
 interface Ordered {
   desired: number
   at: Milliseconds
   answer: OrderAnswer
 }
 
-/** After an unanswered order; the call itself is bounded as well. */
-const REPEAT: Milliseconds = SECOND
+/** Time after which an order that was not accepted is repeated. The call itself has a timeout as well. */
+const RETRY_INTERVAL: Milliseconds = SECOND
 
-/** After "none to be had": a dry spell lasts some ten seconds, and asking costs a call. */
-const REFUSED: Milliseconds = 2 * SECOND
+/** Pause after the answer 'unavailable'. A shortage lasts about ten seconds, and each order costs a call. */
+const UNAVAILABLE_INTERVAL: Milliseconds = 2 * SECOND
 
-/** What runs may fall short of what was ordered for a boot and a heartbeat before it is ordered again. */
-const SHORT_FOR: Milliseconds = 8 * SECOND
+/** Time after which an accepted order is repeated if too few upstreams run. Covers a boot and a heartbeat. */
+const SHORTFALL_TIMEOUT: Milliseconds = 8 * SECOND
 
 /**
+ * Creates a tracker without orders.
+ *
  * @example
- * const book = createOrderBook()
- * for (const size of book.due(planPools(situation), running, clock.now())) book.answered(size, await order(size), clock.now())
+ * const orders = createOrderTracker()
+ * for (const size of orders.due(planPools(input), running, clock.now())) orders.answered(size, await order(size), clock.now())
  */
-export function createOrderBook (): OrderBook {
+export function createOrderTracker (): OrderTracker {
   const ordered = new Map<string, Ordered>()
-  const refused = new Map<string, Milliseconds>()
+  const unavailable = new Map<string, Milliseconds>()
   return {
     due: (sizes, running, now) => sizes.filter((size) => {
-      const last = ordered.get(nameOf(size))
+      const last = ordered.get(poolKey(size))
       if (last === undefined || last.desired !== size.desired) return true
-      if (last.answer !== 'accepted') return now - last.at >= REPEAT
-      return running(size) < size.desired && now - last.at >= SHORT_FOR
+      if (last.answer !== 'accepted') return now - last.at >= RETRY_INTERVAL
+      return running(size) < size.desired && now - last.at >= SHORTFALL_TIMEOUT
     }),
     answered: (size, answer, now) => {
-      ordered.set(nameOf(size), { desired: size.desired, at: now, answer })
-      if (answer === 'unavailable') refused.set(nameOf(size), now + REFUSED)
+      ordered.set(poolKey(size), { desired: size.desired, at: now, answer })
+      if (answer === 'unavailable') unavailable.set(poolKey(size), now + UNAVAILABLE_INTERVAL)
     },
-    refusedUntil: (pool) => refused.get(nameOf(pool)) ?? 0,
+    unavailableUntil: (pool) => unavailable.get(poolKey(pool)) ?? 0,
     reset: () => {
       ordered.clear()
-      refused.clear()
+      unavailable.clear()
     }
   }
 }
 
-function nameOf ({ failureDomain, reclaimable }: Pool): string {
+function poolKey ({ failureDomain, reclaimable }: Pool): string {
   return `${failureDomain}/${reclaimable ? 'reclaimable' : 'lasting'}`
 }
--- a/src/scaling/plan.ts
+++ b/src/scaling/plan.ts
@@ -1,97 +1,107 @@
 /**
- * How many upstreams of a service are to run where: reclaimable ones carry what may be lost for some
- * seconds, others carry the rest and stand in while reclaimable ones are not to be had.
+ * Planned number of upstreams of a service, by failure domain and kind.
+ *
+ * Reclaimable upstreams carry the part of the load that may be lost for some seconds. On-demand upstreams carry the
+ * rest, and replace reclaimable ones while the platform has none.
  */
-import type { PoolSize, PresentUpstream, ScalingSituation } from './types.js'
+import type { PoolSize, PresentUpstream, ScalingInput } from './types.js'
 
-/** Busy upstreams for each one that runs while reclaimable ones are to be had; they are cheap, and idle ones answer sooner. */
-const USUAL_UTILISATION = 0.30
+/**
+ * Target utilisation (load per running upstream) while reclaimable upstreams are available. It is low because they are
+ * cheap and idle upstreams answer sooner.
+ */
+const NORMAL_UTILISATION = 0.30
 
-/** The same while reclaimable ones are missing and others stand in for them. */
-const SHORT_UTILISATION = 0.52
+/** Target utilisation while on-demand upstreams replace missing reclaimable ones. */
+const FALLBACK_UTILISATION = 0.52
 
-/** Part of the lasting upstreams that run in the cheapest failure domain; the rest answers where that is lost. */
-const CHEAPEST_PART = 0.85
+/** Fraction of the on-demand upstreams in the cheapest failure domain. The others serve if that domain fails. */
+const CHEAPEST_DOMAIN_FRACTION = 0.85
 
-/** The same for the moment after all reclaimable ones of one failure domain were taken back at once, until others have booted. */
-const RECLAIMED_UTILISATION = 0.76
+/** Maximum utilisation from the reclaim of all reclaimable upstreams of a failure domain until replacements have booted. */
+const POST_RECLAIM_UTILISATION = 0.76
 
 /**
- * Sizes of all pools of a service.
+ * Plans the sizes of all pools of a service. Pools that the platform currently cannot fill are omitted.
  *
- * Failure guarded against: reclaimable upstreams are taken back in waves, all of one failure domain at a time, and for a
- * while none are to be had. What runs counts, not what was ordered: what is left when the failure domain with most of them
- * is taken next must carry the load, and the others are raised to that as soon as reclaimable ones leave, and lowered
- * again only once their replacements serve.
+ * Failure guarded against: reclaimable upstreams are reclaimed in waves, all of one failure domain at a time, and the
+ * platform then has no others for a while. The plan therefore counts running upstreams, not ordered ones. The upstreams
+ * that remain if the failure domain with most reclaimable ones is reclaimed next must carry the load. The number of
+ * on-demand upstreams rises to that as soon as reclaimable ones leave, and falls only when their replacements serve.
  *
  * @example
- * planPools(situation).find((pool) => pool.reclaimable)?.desired
+ * planPools(input).find((pool) => pool.reclaimable)?.desired
  */
-export function planPools (situation: ScalingSituation): PoolSize[] {
-  const { facts, failureDomains, load } = situation
-  const total = clamp(Math.ceil(load / USUAL_UTILISATION), failureDomains.length * Math.max(1, facts.least), failureDomains.length * facts.most)
-  const survivors = total - Math.ceil(total / failureDomains.length)
-  const reclaimed = Math.ceil(load / RECLAIMED_UTILISATION)
-  const base = facts.reclaimablePrice === undefined ? total : clamp(reclaimed - survivors, 1, total)
-  const least = facts.reclaimablePrice === undefined ? total : clamp(Math.ceil(load / SHORT_UTILISATION), base, total)
-  const wanted = facts.reclaimablePrice === undefined ? [] : spread(total - base, failureDomains, facts.most)
-  const running = countRunning(situation.present)
-  const servingByDomain = wanted.map((pool) => Math.min(pool.count, situation.awaitReclaimable ? pool.count : running.get(pool.failureDomain) ?? 0))
-  const serving = servingByDomain.reduce((sum, count) => sum + count, 0)
-  const safe = serving - Math.max(0, ...servingByDomain)
-  const cheapest = byPrice(situation)
-  const others = leanOnFirst(Math.max(base, reclaimed - safe, least - serving), cheapest, facts.most)
-  const sizes = wanted.map(({ failureDomain, count }): PoolSize => ({ failureDomain, reclaimable: true, desired: count }))
-  for (const { failureDomain, count } of others) {
-    const reclaimable = wanted.find((pool) => pool.failureDomain === failureDomain)?.count ?? 0
-    sizes.push({ failureDomain, reclaimable: false, desired: Math.max(count, facts.least - reclaimable) })
+export function planPools (input: ScalingInput): PoolSize[] {
+  const { facts, failureDomains, load } = input
+  const total = clamp(Math.ceil(load / NORMAL_UTILISATION), failureDomains.length * Math.max(1, facts.minUpstreams), failureDomains.length * facts.maxUpstreams)
+  const remainingAfterLoss = total - Math.ceil(total / failureDomains.length)
+  const neededAfterReclaim = Math.ceil(load / POST_RECLAIM_UTILISATION)
+  const minOnDemand = facts.reclaimablePrice === undefined ? total : clamp(neededAfterReclaim - remainingAfterLoss, 1, total)
+  const minServing = facts.reclaimablePrice === undefined ? total : clamp(Math.ceil(load / FALLBACK_UTILISATION), minOnDemand, total)
+  const reclaimablePools = facts.reclaimablePrice === undefined ? [] : distributeEvenly(total - minOnDemand, failureDomains, facts.maxUpstreams)
+  const running = countRunning(input.present)
+  const servingByDomain = reclaimablePools.map((pool) => Math.min(pool.count, input.assumeReclaimableRunning ? pool.count : running.get(pool.failureDomain) ?? 0))
+  const servingReclaimable = servingByDomain.reduce((sum, count) => sum + count, 0)
+  const servingAfterReclaim = servingReclaimable - Math.max(0, ...servingByDomain)
+  const domainsByPrice = sortByPrice(input)
+  const onDemandPools = distributeCheapestFirst(Math.max(minOnDemand, neededAfterReclaim - servingAfterReclaim, minServing - servingReclaimable), domainsByPrice, facts.maxUpstreams)
+  const sizes = reclaimablePools.map(({ failureDomain, count }): PoolSize => ({ failureDomain, reclaimable: true, desired: count }))
+  for (const { failureDomain, count } of onDemandPools) {
+    const reclaimable = reclaimablePools.find((pool) => pool.failureDomain === failureDomain)?.count ?? 0
+    sizes.push({ failureDomain, reclaimable: false, desired: Math.max(count, facts.minUpstreams - reclaimable) })
   }
-  return sizes.filter((pool) => situation.now >= situation.refusedUntil(pool))
+  return sizes.filter((pool) => input.now >= input.unavailableUntil(pool))
 }
 
 /**
- * Sizes as they are ordered while upstreams of another version run beside those that carry the traffic.
+ * Adds the upstreams of other versions to the planned sizes, for orders during a roll-out.
  *
- * Failure guarded against: an order counts all upstreams of a pool; one for those that carry the traffic alone would stop
- * as many as the other version has, and the load would meet half of the fleet.
+ * Failure guarded against: an order counts all upstreams of a pool. If it only counted the version that carries the
+ * traffic, the platform would stop as many upstreams as the other version has. About half of the fleet would then
+ * have to serve the whole load.
  *
- * @param most upstreams of one pool
+ * @param otherVersions upstreams whose version does not carry the traffic
+ * @param maxPerPool maximum number of upstreams of one pool
  * @example
- * addBeside([{ failureDomain: 'a', reclaimable: true, desired: 4 }], [{ failureDomain: 'a', reclaimable: true, leaving: false }], 9) // 5
+ * addOtherVersions([{ failureDomain: 'a', reclaimable: true, desired: 4 }], [{ failureDomain: 'a', reclaimable: true, leaving: false }], 9) // 5
  */
-export function addBeside (sizes: readonly PoolSize[], beside: readonly PresentUpstream[], most: number): PoolSize[] {
-  if (beside.length === 0) return [...sizes]
+export function addOtherVersions (sizes: readonly PoolSize[], otherVersions: readonly PresentUpstream[], maxPerPool: number): PoolSize[] {
+  if (otherVersions.length === 0) return [...sizes]
   return sizes.map((size) => {
-    const others = beside.filter(({ failureDomain, reclaimable, leaving }) => !leaving && failureDomain === size.failureDomain && reclaimable === size.reclaimable)
-    return { ...size, desired: Math.min(most, size.desired + others.length) }
+    const added = otherVersions.filter(({ failureDomain, reclaimable, leaving }) => !leaving && failureDomain === size.failureDomain && reclaimable === size.reclaimable)
+    return { ...size, desired: Math.min(maxPerPool, size.desired + added.length) }
   })
 }
 
-/** Deals a number over domains in turn, each up to a bound. */
-function spread (count: number, domains: readonly string[], most: number): { readonly failureDomain: string, readonly count: number }[] {
-  const even = Math.floor(count / domains.length)
-  const further = count % domains.length
-  return domains.map((failureDomain, index) => ({ failureDomain, count: Math.min(most, even + (index < further ? 1 : 0)) }))
+/** Distributes a number evenly over failure domains, with at most `max` for each. */
+function distributeEvenly (count: number, domains: readonly string[], max: number): { readonly failureDomain: string, readonly count: number }[] {
+  const quotient = Math.floor(count / domains.length)
+  const remainder = count % domains.length
+  return domains.map((failureDomain, index) => ({ failureDomain, count: Math.min(max, quotient + (index < remainder ? 1 : 0)) }))
 }
 
 /**
- * Deals a number over domains, the larger part to the first: its upstreams cost a fifth to a quarter less than the mean.
- * Of calm days in which reclaimable ones are missing half of the time, lasting ones are most of the price: with 0.85 in
- * place of 0.6 the price of a quiet day's engines falls by a tenth (166 and 151 thousandths of what the day earns; processor
- * time not counted).
+ * Distributes a number over failure domains, the larger part to the first and cheapest. Its upstreams cost 20% to 25%
+ * less than the mean.
+ *
+ * On a calm day on which reclaimable upstreams are missing half of the time, on-demand ones account for most of the
+ * cost. A fraction of 0.85 instead of 0.6 lowers the cost of engines on such a day by a tenth, from 16.6% to 15.1% of
+ * the revenue (processor time not counted).
  */
-function leanOnFirst (count: number, domains: readonly string[], most: number): { readonly failureDomain: string, readonly count: number }[] {
-  const first = Math.min(most, Math.max(Math.ceil(count / domains.length), Math.floor(count * CHEAPEST_PART)))
+function distributeCheapestFirst (count: number, domains: readonly string[], max: number): { readonly failureDomain: string, readonly count: number }[] {
+  const first = Math.min(max, Math.max(Math.ceil(count / domains.length), Math.floor(count * CHEAPEST_DOMAIN_FRACTION)))
   const [cheapest, ...rest] = domains
-  return [{ failureDomain: cheapest!, count: first }, ...spread(count - first, rest, most)]
+  return [{ failureDomain: cheapest!, count: first }, ...distributeEvenly(count - first, rest, max)]
 }
 
-/** Failure domains, the cheapest first. */
-function byPrice ({ facts, failureDomains }: ScalingSituation): string[] {
+/** Failure domains by price, the cheapest first. Domains without a price come last. */
+function sortByPrice ({ facts, failureDomains }: ScalingInput): string[] {
   const price = (domain: string): number => facts.prices[domain] ?? Infinity
   return [...failureDomains].sort((left, right) => price(left) - price(right))
 }
 
+/** Number of reclaimable upstreams that are not leaving, by failure domain. */
 function countRunning (present: readonly PresentUpstream[]): Map<string, number> {
   const counts = new Map<string, number>()
   for (const upstream of present) {
@@ -101,6 +111,6 @@
   return counts
 }
 
-function clamp (value: number, least: number, most: number): number {
-  return Math.min(most, Math.max(least, value))
+function clamp (value: number, min: number, max: number): number {
+  return Math.min(max, Math.max(min, value))
 }
--- a/src/scaling/types.ts
+++ b/src/scaling/types.ts
@@ -1,24 +1,24 @@
-/** What the size of a service is planned from. */
+/** Input and result of the planning of a service's size. */
 import type { Milliseconds } from '../clock.js'
-import type { ScalingFacts } from '../routing/index.js'
+import type { ScalingConfiguration } from '../routing/index.js'
 
-/** Offered work of one service, a second, over all nodes. */
+/** Offered work of one service per second. */
 export interface OfferedWork {
   readonly requests: number
-  /** Milliseconds that upstreams read prompts. */
+  /** Time that upstreams need for the prefill of the prompts. */
   readonly reading: Milliseconds
-  /** Most tokens that may be generated. */
+  /** Maximum number of tokens that the requests allow to be generated. */
   readonly generatedTokens: number
 }
 
-/** One upstream as planning sees it. */
+/** Properties of one upstream that the plan depends on. */
 export interface PresentUpstream {
   readonly failureDomain: string
   readonly reclaimable: boolean
   readonly leaving: boolean
 }
 
-/** Kind and place of upstreams that are ordered together. */
+/** Upstreams of one kind in one failure domain. They are ordered together. */
 export interface Pool {
   readonly failureDomain: string
   readonly reclaimable: boolean
@@ -29,17 +29,21 @@
   readonly desired: number
 }
 
-/** What a plan is made from. */
-export interface ScalingSituation {
-  readonly facts: ScalingFacts
+/** Input of a plan for one service. */
+export interface ScalingInput {
+  readonly facts: ScalingConfiguration
   /** Failure domains in which the service may run. */
   readonly failureDomains: readonly string[]
+  /** Upstreams that are registered, of the version that carries the traffic. */
   readonly present: readonly PresentUpstream[]
-  /** Upstreams that the offered work keeps busy all the time. */
+  /** Number of upstreams that the offered work keeps busy. */
   readonly load: number
-  /** Nothing is asked yet: reclaimable upstreams that boot count as running, so that nothing else is kept in their place. */
-  readonly awaitReclaimable: boolean
-  /** Pools that gave nothing lately, until when they are not asked. */
-  readonly refusedUntil: (pool: Pool) => Milliseconds
+  /**
+   * Whether planned reclaimable upstreams count as running. Set while a service boots and has received no requests yet,
+   * so that no on-demand upstreams are ordered in place of reclaimable ones that are still booting.
+   */
+  readonly assumeReclaimableRunning: boolean
+  /** Time until which a pool is not ordered because the platform had no upstreams for it. */
+  readonly unavailableUntil: (pool: Pool) => Milliseconds
   readonly now: Milliseconds
 }
--- a/src/scaling/work-meter.ts
+++ b/src/scaling/work-meter.ts
@@ -1,12 +1,18 @@
-/** Offered work by service at one node, as decaying rates. */
+/** Offered work of one node by service, as exponentially decaying rates. */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { OfferedWork } from './types.js'
 
-/** Rates of work. */
+/** Measures the rates of offered work. */
 export interface WorkMeter {
+  /**
+   * Adds one request.
+   *
+   * @param reading time that the prefill of its prompt takes
+   * @param generatedTokens maximum number of tokens to be generated
+   */
   add (service: string, reading: Milliseconds, generatedTokens: number, now: Milliseconds): void
-  /** Work a second by service. */
+  /** Work per second by service. Services with a negligible rate are omitted. */
   rates (now: Milliseconds): Record<string, OfferedWork>
 }
 
@@ -17,15 +23,18 @@
   at: Milliseconds
 }
 
-/** Mean age of the work in a rate: short enough to see a burst within a boot, long enough to smooth single prompts. */
-const MEAN_AGE: Milliseconds = 3 * SECOND
+/** Time constant of the decay: short enough to detect a burst within a boot, long enough to smooth out single prompts. */
+const TIME_CONSTANT: Milliseconds = 3 * SECOND
 
-const PER_SECOND = SECOND / MEAN_AGE
+/** Increase of a rate, in units per second, by one unit of work. */
+const RATE_WEIGHT = SECOND / TIME_CONSTANT
 
-/** Rates below this are noise of a service that isn't asked any more. */
-const NEGLIGIBLE = 0.01
+/** Requests per second below which a service counts as unused. */
+const NEGLIGIBLE_RATE = 0.01
 
 /**
+ * Creates a meter without work.
+ *
  * @example
  * const meter = createWorkMeter()
  * meter.add('plans', 120, 380, clock.now())
@@ -33,26 +42,26 @@
 export function createWorkMeter (): WorkMeter {
   const meters = new Map<string, Meter>()
 
-  function aged (meter: Meter, now: Milliseconds): Meter {
-    const factor = Math.exp(-(now - meter.at) / MEAN_AGE)
+  function decayed (meter: Meter, now: Milliseconds): Meter {
+    const factor = Math.exp(-(now - meter.at) / TIME_CONSTANT)
     return { requests: meter.requests * factor, reading: meter.reading * factor, generatedTokens: meter.generatedTokens * factor, at: now }
   }
 
   return {
     add: (service, reading, generatedTokens, now) => {
-      const meter = aged(meters.get(service) ?? { requests: 0, reading: 0, generatedTokens: 0, at: now }, now)
+      const meter = decayed(meters.get(service) ?? { requests: 0, reading: 0, generatedTokens: 0, at: now }, now)
       meters.set(service, {
-        requests: meter.requests + PER_SECOND,
-        reading: meter.reading + reading * PER_SECOND,
-        generatedTokens: meter.generatedTokens + generatedTokens * PER_SECOND,
+        requests: meter.requests + RATE_WEIGHT,
+        reading: meter.reading + reading * RATE_WEIGHT,
+        generatedTokens: meter.generatedTokens + generatedTokens * RATE_WEIGHT,
         at: now
       })
     },
     rates: (now) => {
       const rates: Record<string, OfferedWork> = {}
       for (const [service, meter] of meters) {
-        const { requests, reading, generatedTokens } = aged(meter, now)
-        if (requests >= NEGLIGIBLE) rates[service] = { requests: round(requests), reading: round(reading), generatedTokens: round(generatedTokens) }
+        const { requests, reading, generatedTokens } = decayed(meter, now)
+        if (requests >= NEGLIGIBLE_RATE) rates[service] = { requests: round(requests), reading: round(reading), generatedTokens: round(generatedTokens) }
       }
       return rates
     }
--- a/test/admission/fixtures.ts
+++ b/test/admission/fixtures.ts
@@ -1,4 +1,4 @@
-/** Configuration, upstreams and attempts for the scheduler's tests. */
+/** Configuration, upstreams and attempts for the tests of the scheduler. */
 import type { PendingAttempt } from '../../src/admission/index.js'
 import type { Configuration } from '../../src/configuration/index.js'
 import { addressSchema, classNameSchema, failureDomainSchema, organisationNameSchema, requestIdSchema, serviceNameSchema, upstreamNameSchema } from '../../src/identifiers.js'
--- a/test/admission/scheduler-properties.test.ts
+++ b/test/admission/scheduler-properties.test.ts
@@ -1,4 +1,4 @@
-/** What holds after any sequence of events, whatever their order. */
+/** Invariants of the scheduler for arbitrary sequences of events. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -10,7 +10,7 @@
 
 const UPSTREAMS = 4
 
-/** One step of a history; what it refers to is resolved when it is played. */
+/** One step of a history. Indexes of requests are resolved when the step is simulated. */
 type Step =
   | { kind: 'arrive', organisation: boolean, short: boolean, accepted: boolean, apart: boolean, excluded: number | undefined }
   | { kind: 'end', which: number, result: 'whole' | 'failed' | 'died' | 'withdrawn' }
@@ -40,7 +40,7 @@
 )
 const history = fc.array(step, { minLength: 20, maxLength: 150, size: 'max' })
 
-interface Played {
+interface Simulation {
   readonly log: string[]
   readonly waiting: Map<RequestId, PendingAttempt>
   readonly running: Map<RequestId, UpstreamName>
@@ -49,81 +49,81 @@
   now: number
 }
 
-/** Plays a history and checks each effect as it comes. */
-function play (steps: readonly Step[], check: (played: Played) => void = () => {}): Played {
+/** Simulates a history and checks each effect. */
+function simulate (steps: readonly Step[], check: (played: Simulation) => void = () => {}): Simulation {
   const scheduler = createScheduler({ random: createRandom(7) })
-  const played: Played = { log: [], waiting: new Map(), running: new Map(), leaving: new Set(), scheduler, now: 0 }
-  tell(played, { kind: 'configured', configuration })
-  showUpstreams(played)
+  const simulation: Simulation = { log: [], waiting: new Map(), running: new Map(), leaving: new Set(), scheduler, now: 0 }
+  deliver(simulation, { kind: 'configured', configuration })
+  showUpstreams(simulation)
   steps.forEach((each, number) => {
-    playStep(played, each, number)
-    check(played)
+    simulateStep(simulation, each, number)
+    check(simulation)
   })
-  return played
+  return simulation
 }
 
-function tell (played: Played, event: SchedulerEvent): void {
-  for (const effect of played.scheduler.handle(event, played.now)) {
-    const pending = played.waiting.get(effect.id)
-    assert.ok(pending !== undefined, `${effect.kind} of ${effect.id}, which does not wait`)
-    played.waiting.delete(effect.id)
-    played.log.push(JSON.stringify([played.now, effect]))
+function deliver (simulation: Simulation, event: SchedulerEvent): void {
+  for (const effect of simulation.scheduler.handle(event, simulation.now)) {
+    const pending = simulation.waiting.get(effect.id)
+    assert.ok(pending !== undefined, `${effect.kind} of ${effect.id}, which is not waiting`)
+    simulation.waiting.delete(effect.id)
+    simulation.log.push(JSON.stringify([simulation.now, effect]))
     switch (effect.kind) {
       case 'refuse':
-        assert.equal(pending.accepted, false, 'refused after it was accepted')
+        assert.equal(pending.accepted, false, 'accepted attempt was refused')
         assert.ok(effect.retryAfter > 0)
         break
       case 'dispatch':
-        assert.ok(!played.leaving.has(effect.upstream), 'dispatched to a leaving upstream')
+        assert.ok(!simulation.leaving.has(effect.upstream), 'dispatched to a leaving upstream')
         assert.ok(!pending.excluded.includes(effect.upstream), 'dispatched to an excluded upstream')
-        if (pending.apart) assert.ok(![...played.running.values()].includes(effect.upstream), 'not apart')
-        played.running.set(effect.id, effect.upstream)
+        if (pending.apart) assert.ok(![...simulation.running.values()].includes(effect.upstream), 'suspected request was dispatched to an upstream with other requests')
+        simulation.running.set(effect.id, effect.upstream)
         break
     }
   }
 }
 
-function showUpstreams (played: Played): void {
+function showUpstreams (simulation: Simulation): void {
   const indexes = Array.from({ length: UPSTREAMS }, (_, index) => index)
-  tell(played, { kind: 'upstreams', upstreams: indexes.map((index) => view(index, played.leaving.has(nameOf(index)))) })
+  deliver(simulation, { kind: 'upstreams', upstreams: indexes.map((index) => view(index, simulation.leaving.has(nameOf(index)))) })
 }
 
-function playStep (played: Played, each: Step, number: number): void {
+function simulateStep (simulation: Simulation, each: Step, number: number): void {
   switch (each.kind) {
     case 'arrive': {
       const pending = attempt(number, {
         organisation: each.organisation ? large : small,
         class: each.short ? question : plan,
-        arrivedAt: played.now,
+        arrivedAt: simulation.now,
         accepted: each.accepted,
         apart: each.apart,
         excluded: each.excluded === undefined ? [] : [nameOf(each.excluded)]
       })
-      played.waiting.set(pending.id, pending)
-      return tell(played, { kind: 'arrived', attempt: pending })
+      simulation.waiting.set(pending.id, pending)
+      return deliver(simulation, { kind: 'arrived', attempt: pending })
     }
-    case 'end': return end(played, [...played.running.keys()][each.which % Math.max(1, played.running.size)], resultOf(each.result))
+    case 'end': return end(simulation, [...simulation.running.keys()][each.which % Math.max(1, simulation.running.size)], resultOf(each.result))
     case 'token': {
-      const id = [...played.running.keys()][each.which % Math.max(1, played.running.size)]
-      return id === undefined ? undefined : tell(played, { kind: 'first-token', id })
+      const id = [...simulation.running.keys()][each.which % Math.max(1, simulation.running.size)]
+      return id === undefined ? undefined : deliver(simulation, { kind: 'first-token', id })
     }
     case 'leave':
-      played.leaving.add(nameOf(each.upstream))
-      return showUpstreams(played)
+      simulation.leaving.add(nameOf(each.upstream))
+      return showUpstreams(simulation)
     case 'return':
-      played.leaving.delete(nameOf(each.upstream))
-      return showUpstreams(played)
-    case 'load': return tell(played, { kind: 'load', report: report(each.upstream, each.running, each.waiting) })
+      simulation.leaving.delete(nameOf(each.upstream))
+      return showUpstreams(simulation)
+    case 'load': return deliver(simulation, { kind: 'load', report: report(each.upstream, each.running, each.waiting) })
     case 'pass':
-      played.now += each.time
-      return tell(played, { kind: 'tick' })
+      simulation.now += each.time
+      return deliver(simulation, { kind: 'tick' })
   }
 }
 
-function end (played: Played, id: RequestId | undefined, result: AttemptResult): void {
+function end (simulation: Simulation, id: RequestId | undefined, result: AttemptResult): void {
   if (id === undefined) return
-  played.running.delete(id)
-  tell(played, { kind: 'ended', id, result })
+  simulation.running.delete(id)
+  deliver(simulation, { kind: 'ended', id, result })
 }
 
 function resultOf (kind: 'whole' | 'failed' | 'died' | 'withdrawn'): AttemptResult {
@@ -135,36 +135,36 @@
   }
 }
 
-test('every attempt gets exactly one dispatch or refusal, the right kind, and nothing waits for good', () => {
+test('every attempt is dispatched or refused exactly once, as its properties allow, and none waits forever', () => {
   fc.assert(fc.property(history, (steps) => {
-    const played = play(steps)
-    played.leaving.clear()
-    showUpstreams(played)
-    for (let round = 0; round < 400 && (played.waiting.size > 0 || played.running.size > 0); round += 1) {
-      played.now += 1_000
-      tell(played, { kind: 'tick' })
-      for (const id of [...played.running.keys()]) end(played, id, resultOf('whole'))
+    const simulation = simulate(steps)
+    simulation.leaving.clear()
+    showUpstreams(simulation)
+    for (let round = 0; round < 400 && (simulation.waiting.size > 0 || simulation.running.size > 0); round += 1) {
+      simulation.now += 1_000
+      deliver(simulation, { kind: 'tick' })
+      for (const id of [...simulation.running.keys()]) end(simulation, id, resultOf('whole'))
     }
-    assert.equal(played.waiting.size, 0, 'starved')
+    assert.equal(simulation.waiting.size, 0, 'starved')
   }), { seed: 1, numRuns: 300 })
 })
 
-test('no upstream of this node stands idle while an attempt waits that it may take', () => {
+test('no upstream is idle while an attempt waits that may run there', () => {
   const plain = history.map((steps) => steps.filter((each) => each.kind !== 'load' && !(each.kind === 'end' && each.result !== 'whole') && !(each.kind === 'arrive' && each.apart)))
   fc.assert(fc.property(plain, (steps) => {
-    play(steps, (played) => {
-      const busy = new Set(played.running.values())
-      const idle = Array.from({ length: UPSTREAMS }, (_, index) => nameOf(index)).filter((name) => !played.leaving.has(name) && !busy.has(name))
-      for (const pending of played.waiting.values()) {
+    simulate(steps, (simulation) => {
+      const busy = new Set(simulation.running.values())
+      const idle = Array.from({ length: UPSTREAMS }, (_, index) => nameOf(index)).filter((name) => !simulation.leaving.has(name) && !busy.has(name))
+      for (const pending of simulation.waiting.values()) {
         const usable = idle.filter((name) => !pending.excluded.includes(name))
-        assert.deepEqual(usable, [], `${pending.id} waits beside an idle upstream`)
+        assert.deepEqual(usable, [], `${pending.id} waits although an upstream is idle`)
       }
     })
   }), { seed: 2, numRuns: 200 })
 })
 
-test('equal events and an equal seed give equal effects', () => {
+test('equal events with equal seeds give equal effects', () => {
   fc.assert(fc.property(history, (steps) => {
-    assert.deepEqual(play(steps).log, play(steps).log)
+    assert.deepEqual(simulate(steps).log, simulate(steps).log)
   }), { seed: 3, numRuns: 100 })
 })
--- a/test/admission/scheduler.test.ts
+++ b/test/admission/scheduler.test.ts
@@ -1,4 +1,4 @@
-/** The scheduler of one node, event by event. */
+/** Decisions of the scheduler of one node for single events. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { createScheduler } from '../../src/admission/index.js'
@@ -25,16 +25,17 @@
   return effects.map((effect) => [effect.kind, effect.id] as const)
 }
 
-/** Takes every place that one engine has for this node. */
-function fill (scheduler: Scheduler, from: number, now = 0): number {
+/** Sends attempts until the engine has no free slot for this node. Returns the number of the attempt that waits. */
+function fillSlots (scheduler: Scheduler, from: number, now = 0): number {
   let number = from
   while (dispatchedTo(scheduler.handle({ kind: 'arrived', attempt: attempt(number, { arrivedAt: now }) }, now)).length > 0) number += 1
   return number
 }
 
-test('a suspect runs where nothing else of this node runs', () => {
-  // A request has crashed an upstream. Run beside others it would take them down again, and the next
-  // crash would not show which of them was the cause. So it waits for an idle upstream and keeps it.
+test('a suspected request runs where no other request of this node runs', () => {
+  // Failure guarded against: a request that has crashed an upstream crashes another one together with all requests that
+  // run there, and the crash does not show which request caused it. The request must wait for an idle upstream and
+  // occupy it alone.
   const scheduler = start([view(1), view(2)])
   assert.equal(scheduler.handle({ kind: 'arrived', attempt: attempt(1) }, 0).length, 1)
   assert.equal(scheduler.handle({ kind: 'arrived', attempt: attempt(2) }, 0).length, 1)
@@ -45,9 +46,9 @@
   assert.notEqual(dispatchedTo(beside)[0], dispatchedTo(freed)[0])
 })
 
-test('a suspect is not kept waiting by a steady stream of other work', () => {
-  // Under load no upstream is ever idle: whenever one answer ends, another request takes the place. A
-  // suspect that only waited for an idle upstream would wait for good, and its caller with it.
+test('a suspected request does not wait forever under a steady load', () => {
+  // Failure guarded against: under load another request takes each slot that becomes free, so no upstream is ever idle.
+  // A suspected request that only waits for an idle upstream would wait forever.
   const scheduler = start([view(1), view(2)])
   for (const number of [1, 2, 3, 4]) scheduler.handle({ kind: 'arrived', attempt: attempt(number) }, 0)
   scheduler.handle({ kind: 'arrived', attempt: attempt(5, { apart: true, accepted: true }) }, 0)
@@ -61,26 +62,26 @@
   assert.ok(placed)
 })
 
-test('an accepted suspect probes an ejected upstream when no other is left', () => {
-  // The target of an export dies midway. A plan that was there must run apart and not where it failed;
-  // the other engine was ejected a while ago. Nothing new arrives to probe that one, and the caller waits
-  // for good.
+test('an accepted suspected request probes an ejected upstream if no other is left', () => {
+  // Failure guarded against: an upstream dies while it takes over a running request. The request must then run alone and
+  // not at an upstream where it failed, and the only other upstream is ejected. Without new requests that would probe
+  // the ejected upstream, the caller would wait forever.
   const scheduler = start([view(1), view(2), view(3)])
-  const strike = (number: number, at: number): void => {
+  const crash = (number: number, at: number): void => {
     const [upstream] = dispatchedTo(scheduler.handle({ kind: 'arrived', attempt: attempt(number, { arrivedAt: at, excluded: [nameOf(2), nameOf(3)] }) }, at))
     assert.equal(upstream, nameOf(1))
     scheduler.handle({ kind: 'ended', id: idOf(number), result: { kind: 'failed', verdict: 'may-have-run', upstreamDied: true } }, at)
   }
-  strike(1, 0)
-  strike(2, 1)
+  crash(1, 0)
+  crash(2, 1)
   const suspect = attempt(3, { accepted: true, apart: true, arrivedAt: 2, excluded: [nameOf(2), nameOf(3)] })
   assert.deepEqual(scheduler.handle({ kind: 'arrived', attempt: suspect }, 2), [])
   assert.deepEqual(kinds(scheduler.handle({ kind: 'tick' }, 60_000)), [['dispatch', idOf(3)]])
 })
 
-test('an accepted answer waits out the loss of all upstreams, a new request is refused at once', () => {
-  // A wave takes every upstream. The caller of a begun answer holds its id and must not lose it; a new
-  // caller is told at once that nothing ran.
+test('without upstreams an accepted request waits and a new one is refused at once', () => {
+  // All upstreams are reclaimed. The caller of an accepted request has the id of its answer and must not lose it. A new
+  // caller must learn at once that its request has not run.
   const scheduler = start([view(1, true)])
   assert.deepEqual(scheduler.handle({ kind: 'arrived', attempt: attempt(1, { accepted: true, tokensSoFar: 5 }) }, 0), [])
   assert.deepEqual(kinds(scheduler.handle({ kind: 'arrived', attempt: attempt(2) }, 0)), [['refuse', idOf(2)]])
@@ -88,34 +89,34 @@
   assert.deepEqual(kinds(effects), [['dispatch', idOf(1)]])
 })
 
-test('a request that can no longer meet its target gets its answer at once, not at its deadline', () => {
-  // The engine is full for good. A question must start within 0.6 s; its caller would rather hear
-  // "not run" in time to ask elsewhere than wait for the whole target of 8 s.
+test('a request that can no longer meet its target is refused before its deadline', () => {
+  // The engine stays full. The request must start within 0.6 s. Its caller needs the refusal in time to try elsewhere,
+  // not after the target of 8 s for the whole answer.
   const scheduler = start([view(1)])
-  fill(scheduler, 1)
+  fillSlots(scheduler, 1)
   const late = attempt(1_000, { class: question, arrivedAt: 10 })
   const effects = [...scheduler.handle({ kind: 'arrived', attempt: late }, 10)]
   for (let now = 20; now <= 700 && effects.length === 0; now += 20) effects.push(...scheduler.handle({ kind: 'tick' }, now))
   assert.deepEqual(kinds(effects).filter(([, id]) => id === late.id), [['refuse', late.id]])
 })
 
-test('a small organisation is served before the flood of a large one', () => {
-  // One organisation sends far more plans than fit; another asks for one. First come first served
-  // would put the one behind all of them.
+test('a request of a small organisation is served before many requests of a large one', () => {
+  // Failure guarded against: one organisation sends far more requests than the engine can run. In order of arrival, a
+  // single request of another organisation would wait for all of them.
   const scheduler = start([view(1)])
-  let number = fill(scheduler, 1)
+  let number = fillSlots(scheduler, 1)
   for (let index = 0; index < 40; index += 1) scheduler.handle({ kind: 'arrived', attempt: attempt(++number) }, 0)
   const single = attempt(++number, { organisation: small, arrivedAt: 1 })
   assert.deepEqual(scheduler.handle({ kind: 'arrived', attempt: single }, 1).filter((effect) => effect.id === single.id), [])
   const freed = scheduler.handle({ kind: 'ended', id: idOf(1), result: { kind: 'whole', usage: USAGE } }, 2)
   const next = scheduler.handle({ kind: 'ended', id: idOf(2), result: { kind: 'whole', usage: USAGE } }, 3)
   const order = [...freed, ...next].flatMap((effect) => effect.kind === 'dispatch' ? [effect.id] : [])
-  assert.ok(order.includes(single.id), `served first: ${order.join(', ')}`)
+  assert.ok(order.includes(single.id), `dispatched first: ${order.join(', ')}`)
 })
 
-test('nodes with the same late report do not all send to the upstream that was idle in it', () => {
-  // Sixteen nodes read the same report: one engine has less work than three others. If each sent its
-  // next request there, its queue would show only in the next report.
+test('nodes with the same outdated load report do not all dispatch to the least loaded upstream', () => {
+  // Failure guarded against: sixteen nodes have the same report, in which one engine has less work than three others.
+  // If each node dispatched its next request there, the resulting queue would only be visible in the next report.
   const counts = new Map<string, number>()
   for (let node = 0; node < 16; node += 1) {
     const scheduler = createScheduler({ random: createRandom(node) })
@@ -130,31 +131,31 @@
   assert.ok(Math.max(...counts.values()) <= 12, JSON.stringify([...counts]))
 })
 
-test('an upstream that accepts requests and never answers gets no more of them', () => {
-  // A half-dead engine takes connections and stands still. It looks idle beside busy ones, and without
-  // the guard it would draw every new request of the service.
+test('an upstream that accepts requests and never answers receives no more of them', () => {
+  // Failure guarded against: a hanging engine still accepts connections. It looks idle compared with the others and
+  // would receive every new request of the service.
   const scheduler = start([view(1), view(2), view(3), view(4)])
   const stuck = nameOf(1)
   const busy: { number: number, upstream: string | undefined }[] = []
-  let atStuck = 0
+  let sentToStuck = 0
   for (let number = 1; number <= 300; number += 1) {
     const now = number * 100
-    const standsStill = number > 100
+    const isStuck = number > 100
     scheduler.handle({ kind: 'tick' }, now)
     const [upstream] = dispatchedTo(scheduler.handle({ kind: 'arrived', attempt: attempt(number, { arrivedAt: now }) }, now))
-    if (standsStill && upstream === stuck) atStuck += 1
-    if (!standsStill || upstream !== stuck) scheduler.handle({ kind: 'first-token', id: idOf(number) }, now + 50)
+    if (isStuck && upstream === stuck) sentToStuck += 1
+    if (!isStuck || upstream !== stuck) scheduler.handle({ kind: 'first-token', id: idOf(number) }, now + 50)
     busy.push({ number, upstream })
     const oldest = busy.length > 24 ? busy.shift() : undefined
     if (oldest === undefined || (oldest.number > 100 && oldest.upstream === stuck)) continue
     scheduler.handle({ kind: 'ended', id: idOf(oldest.number), result: { kind: 'whole', usage: USAGE } }, now + 90)
   }
-  assert.ok(atStuck <= 10, `${atStuck} requests went to the upstream that stands still`)
+  assert.ok(sentToStuck <= 10, `${sentToStuck} requests were dispatched to the upstream that hangs`)
 })
 
-test('an engine that still loads its weights gets nothing, and work as soon as it has them', () => {
-  // After a wave new engines are listed at once and accept requests, but answer only when their weights
-  // are there, a minute later. The first requests of each would be late.
+test('an engine receives requests only when its weights are loaded', () => {
+  // Failure guarded against: after a wave of reclaims, new engines are listed at once and accept requests. They answer
+  // only a minute later, when their weights are loaded, so the first requests would miss their targets.
   const scheduler = start([view(1), view(2)])
   scheduler.handle({ kind: 'load', report: { ...report(1, 4, 0), models: ['m@1'] } }, 0)
   scheduler.handle({ kind: 'load', report: report(2, 0, 0) }, 0)
@@ -165,16 +166,16 @@
   assert.ok(next.includes(nameOf(2)))
 })
 
-test('refused callers are told different times to come again', () => {
-  // A burst is refused together. Told the same time, the callers come back together, are refused
-  // together again, and the storm feeds itself.
+test('refused callers get different retry delays', () => {
+  // Failure guarded against: the requests of a burst are refused together. With equal delays the callers retry together
+  // and are refused together again.
   const scheduler = start([view(1)])
-  let number = fill(scheduler, 1)
+  let number = fillSlots(scheduler, 1)
   const times = new Set<number>()
   for (let index = 0; index < 200; index += 1) {
     for (const effect of scheduler.handle({ kind: 'arrived', attempt: attempt(++number, { organisation: large }) }, 0)) {
       if (effect.kind === 'refuse') times.add(effect.retryAfter)
     }
   }
-  assert.ok(times.size > 20, `${times.size} different times`)
+  assert.ok(times.size > 20, `${times.size} different delays`)
 })
--- a/test/gateway/listener.test.ts
+++ b/test/gateway/listener.test.ts
@@ -14,7 +14,7 @@
   }, (code) => malformed.push(code))
 
   before(async () => {
-    applyCallerLimits(server, { headerBytes: 1_000, bodyBytes: 1_000, headerTime: 300, idleTime: 15_000 })
+    applyCallerLimits(server, { headerBytes: 1_000, bodyBytes: 1_000, headerTimeout: 300, idleTimeout: 15_000 })
     await new Promise<void>((resolve) => server.listen(0, '127.0.0.1', resolve))
   })
 
--- a/test/gateway/response-watchdog.test.ts
+++ b/test/gateway/response-watchdog.test.ts
@@ -4,7 +4,7 @@
 import { createManualClock } from '../../stand-ins/manual-clock.js'
 import { routeTo } from '../placement/records.js'
 
-const streamRoute = routeTo('s', { kind: 'stream', resumable: true, target: 500, longestPause: 500 })
+const streamRoute = routeTo('s', { kind: 'stream', resumable: true, target: 500, maxPause: 500 })
 
 describe('the response watchdog', () => {
   // Guards against needless second attempts when engines are few: a request that is queued behind a long prompt is
@@ -24,7 +24,7 @@
   // Guards against a pause longer than the route allows: a stream stops, and the node waits too long before another
   // engine continues it.
   it('times out in the middle of a stream before the maximum pause of the route', () => {
-    assert.ok(eventTimeout(streamRoute) < streamRoute.longestPause)
+    assert.ok(eventTimeout(streamRoute) < streamRoute.maxPause)
   })
 
   it('fires once, after the timeout set with the latest data', async () => {
--- a/test/membership/view.test.ts
+++ b/test/membership/view.test.ts
@@ -1,9 +1,9 @@
-/** The view of the nodes and the places that follow from it. */
+/** Tests of the membership view, of the assignment of nodes to roles, and of suspicions. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
 import { organisationNameSchema } from '../../src/identifiers.js'
-import { answerNodes, createMembershipView, createSuspicions, isWatcher, LAPSE_GRACE, LAPSE_GRACE_DOWN, nodeRecordSchema, successorsOf, watchers, WATCHERS_PER_DOMAIN } from '../../src/membership/index.js'
+import { selectAddressNodes, createMembershipView, createSuspicions, isWatcher, LAPSE_GRACE, LAPSE_GRACE_UNREACHABLE, nodeRecordSchema, successorsOf, watchers, WATCHERS_PER_DOMAIN } from '../../src/membership/index.js'
 import type { NodeRecord, ViewChange } from '../../src/membership/index.js'
 
 function node (number: number, domain = number % 3, life = 1): NodeRecord {
@@ -18,14 +18,14 @@
 }
 
 const OWN = node(0)
-const nobody = (): boolean => false
+const isNeverDown = (): boolean => false
 const TEJO = organisationNameSchema.parse('tejo')
 
 const change = fc.record({ number: fc.integer({ min: 1, max: 12 }), life: fc.integer({ min: 1, max: 2 }), deleted: fc.boolean() })
 
-test('views that get the changes from peers, in any portions, become equal to the watcher\'s', () => {
-  // A watcher sees each change; the others get parts of them from peers that are ahead, late and more
-  // than once. A node that was deleted comes back in some view, or another is missing for good.
+test('views that receive changes from peers in any portions become equal to the view of the watcher', () => {
+  // Failure guarded against: a watcher receives each change, and other nodes receive portions from peers, late and
+  // repeatedly. A deleted node then reappears in a view, or another node is missing permanently.
   fc.assert(fc.property(fc.array(change, { maxLength: 60, size: 'max' }), fc.array(fc.tuple(fc.nat(2), fc.nat(2), fc.integer({ min: 1, max: 5 })), { maxLength: 80 }), (changes, exchanges) => {
     const views = [createMembershipView(OWN), createMembershipView(node(100)), createMembershipView(node(101))]
     const exchange = (from: number, to: number, limit: number): void => {
@@ -38,7 +38,7 @@
       for (const [from, to, limit] of pending.splice(0, 2)) exchange(from, to, limit)
     })
     for (let round = 0; round < 60; round += 1) [1, 2].forEach((to) => exchange(0, to, 3))
-    for (const view of views) view.settle(LAPSE_GRACE, nobody)
+    for (const view of views) view.removeLapsed(LAPSE_GRACE, isNeverDown)
     const names = views.map((view) => new Set(view.nodes().slice(1).map((record) => record.incarnation)))
     assert.deepEqual(names[1], names[0])
     assert.deepEqual(names[2], names[0])
@@ -51,27 +51,27 @@
   return { kind: 'put', revision: index + 1, record }
 }
 
-test('leases that all lapse in an outage make nobody gone who registers again', () => {
-  // The key-value service comes back from an outage in which every lease lapsed. Callers must not be
-  // told that there is no node, and a request's home must not count as gone.
+test('a node whose lease expires in an outage is not gone if it registers again', () => {
+  // Failure guarded against: all leases expire during an outage of the key-value service. Callers would then receive no
+  // addresses, and the nodes that are responsible for requests would count as gone.
   const view = createMembershipView(OWN)
   const others = [node(1), node(2), node(3)]
   view.replace(others.map((record, index) => ({ record, revision: index + 1 })), 10, 0)
   view.replace([], 20, 1_000)
-  view.settle(1_000 + LAPSE_GRACE - 1, nobody)
+  view.removeLapsed(1_000 + LAPSE_GRACE - 1, isNeverDown)
   assert.equal(view.nodes().length, 4)
   view.merge({ after: 20, upTo: 21, changes: [{ kind: 'put', revision: 21, record: others[0]! }] }, 5_000)
-  view.settle(1_000 + LAPSE_GRACE, nobody)
+  view.removeLapsed(1_000 + LAPSE_GRACE, isNeverDown)
   assert.deepEqual(others.map((record) => view.stateOf(record.incarnation)), ['live', 'gone', 'gone'])
 })
 
-test('a lapsed node that peers can\'t reach goes sooner, and one that starts hears whom peers suspect', () => {
-  // A wave takes nodes during an outage. Without the second rule a node that starts after the wave gives
-  // callers dead addresses until it has found each dead node itself.
+test('an unreachable node is removed sooner, and a node that starts receives all current suspicions', () => {
+  // Failure guarded against: nodes are reclaimed during an outage of the key-value service. A node that starts later and
+  // receives no earlier suspicions would give dead addresses to callers until it has detected each dead node itself.
   const view = createMembershipView(OWN)
   view.replace([{ record: node(1), revision: 1 }, { record: node(2), revision: 2 }], 2, 0)
   view.replace([], 3, 0)
-  view.settle(LAPSE_GRACE_DOWN, (incarnation) => incarnation === node(1).incarnation)
+  view.removeLapsed(LAPSE_GRACE_UNREACHABLE, (incarnation) => incarnation === node(1).incarnation)
   assert.deepEqual([node(1), node(2)].map((record) => view.stateOf(record.incarnation)), ['gone', 'live'])
   const suspicions = createSuspicions(OWN.incarnation)
   suspicions.suspect(node(1).incarnation, 0)
@@ -82,9 +82,10 @@
   assert.ok(started.isDown(node(1).incarnation, 10_000))
 })
 
-test('losses that a listing found at once are passed on together', () => {
-  // A watcher reads the list after an outage and finds three nodes missing, all at the list's revision.
-  // A peer that is given two of them and that revision would keep the third for good.
+test('deletions that one listing reveals are passed on together', () => {
+  // Failure guarded against: after an outage a watcher reads a listing in which three nodes are missing, so all three
+  // deletions have the revision of the listing. A peer that received two of them with that revision would keep the third
+  // node permanently.
   const view = createMembershipView(OWN)
   view.replace([1, 2, 3].map((number) => ({ record: node(number), revision: number })), 3, 0)
   view.replace([], 10, 0)
@@ -92,42 +93,42 @@
   assert.deepEqual([portion?.changes.length, portion?.upTo], [3, 10])
 })
 
-test('a new life of an instance makes the old one gone at once', () => {
+test('a new incarnation of an instance replaces the old one at once', () => {
   const view = createMembershipView(OWN)
   view.replace([{ record: node(1, 1, 1), revision: 1 }], 1, 0)
   view.merge({ after: 1, upTo: 2, changes: [{ kind: 'put', revision: 2, record: node(1, 1, 2) }] }, 0)
   assert.deepEqual([view.stateOf(node(1, 1, 1).incarnation), view.stateOf(node(1, 1, 2).incarnation)], ['gone', 'live'])
 })
 
-test('address answers are few, spread, stable under churn, and never name a leaving node', () => {
+test('address answers are small, spread over failure domains, stable under churn, and contain no leaving node', () => {
   fc.assert(fc.property(fc.integer({ min: 1, max: 120 }), fc.nat(), fc.integer({ min: 1, max: 5 }), (count, seed, domains) => {
     const nodes = Array.from({ length: count }, (_, index) => ({ ...node(index + seed % 1_000, index % domains), leaving: (index + seed) % 7 === 0 }))
-    const answer = answerNodes(TEJO, nodes)
+    const answer = selectAddressNodes(TEJO, nodes)
     const staying = nodes.filter((item) => !item.leaving)
     assert.equal(answer.length > 0, staying.length > 0)
     assert.ok(answer.every((item) => !item.leaving))
     const wanted = new Set(staying.map((item) => item.failureDomain)).size
     assert.equal(new Set(answer.map((item) => item.failureDomain)).size, Math.min(wanted, answer.length))
-    const victim = answer[0]
-    const after = answerNodes(TEJO, nodes.filter((item) => item !== victim))
+    const removed = answer[0]
+    const after = selectAddressNodes(TEJO, nodes.filter((item) => item !== removed))
     const kept = answer.filter((item) => after.includes(item)).length
-    assert.ok(kept >= answer.length - 2, `${answer.length - kept} of ${answer.length} changed when one node went`)
+    assert.ok(kept >= answer.length - 2, `${answer.length - kept} of ${answer.length} changed when one node was removed`)
   }), { seed: 1, numRuns: 300 })
 })
 
-test('every node picks the same few watchers in each failure domain, and successors elsewhere first', () => {
+test('every node selects the same watchers in each failure domain, and successors in other domains first', () => {
   const nodes = Array.from({ length: 30 }, (_, index) => node(index))
   assert.deepEqual(new Set(watchers(nodes)), new Set(watchers([...nodes].reverse())))
   assert.equal(watchers(nodes).length, 3 * WATCHERS_PER_DOMAIN)
   assert.deepEqual(new Set(nodes.filter((item) => isWatcher(item, nodes))), new Set(watchers(nodes)))
-  const [buddy, ...rest] = successorsOf(OWN, nodes)
-  assert.notEqual(buddy?.failureDomain, OWN.failureDomain)
+  const [successor, ...rest] = successorsOf(OWN, nodes)
+  assert.notEqual(successor?.failureDomain, OWN.failureDomain)
   assert.equal(rest.at(-1)?.failureDomain, OWN.failureDomain)
 })
 
-test('a suspected node that is well refutes before it is taken for down', () => {
-  // Some nodes lost their path to a node that is well. The suspicion reaches it with an exchange, and
-  // its refutation has to win against the suspicion wherever both are heard, in any order.
+test('a healthy node refutes a suspicion before it counts as down', () => {
+  // Some nodes have lost the connection to a healthy node. The suspicion reaches that node with an exchange. Its
+  // refutation must override the suspicion at every node that receives both, in any order.
   const suspect = createSuspicions(node(1).incarnation)
   const accused = createSuspicions(node(2).incarnation)
   const third = createSuspicions(node(3).incarnation)
--- a/test/placement/records.ts
+++ b/test/placement/records.ts
@@ -10,5 +10,5 @@
 
 /** A route to one service, with the given fields replaced. */
 export function routeTo (service: string, more: Partial<Route> = {}): Route {
-  return { name: 'r', host: 'api.example', prefix: '/', kind: 'once', resumable: false, timeLimit: 1_000, target: 200, longestPause: 800, mostAttempts: 1, priority: 0, anonymous: false, destinations: [{ service, weight: 1 }], ...more }
+  return { name: 'r', host: 'api.example', prefix: '/', kind: 'once', resumable: false, timeLimit: 1_000, target: 200, maxPause: 800, maxAttempts: 1, priority: 0, anonymous: false, destinations: [{ service, weight: 1 }], ...more }
 }
--- a/test/platform/platform.test.ts
+++ b/test/platform/platform.test.ts
@@ -140,9 +140,9 @@
       tenants: [{ name: 'o', apiKeys: ['k'], unit: 'tokens', plainTokens: 200, ratePerS: 5, burst: 6 }]
     }))
     assert.deepEqual(read.routes[0], {
-      name: 'r', host: 'a.example', prefix: '/p/', kind: 'stream', resumable: false, timeLimit: 3_000, target: 800, longestPause: 500, mostAttempts: 1, priority: 0, anonymous: false, destinations: [{ service: 's', weight: 1 }]
+      name: 'r', host: 'a.example', prefix: '/p/', kind: 'stream', resumable: false, timeLimit: 3_000, target: 800, maxPause: 500, maxAttempts: 1, priority: 0, anonymous: false, destinations: [{ service: 's', weight: 1 }]
     })
-    assert.deepEqual(read.services[0]?.scaling, { least: 1, most: 8, bootTime: 4_000, reclaimablePrice: 0.18, prices: { a: 0.85 } })
+    assert.deepEqual(read.services[0]?.scaling, { minUpstreams: 1, maxUpstreams: 8, bootTime: 4_000, reclaimablePrice: 0.18, prices: { a: 0.85 } })
     assert.deepEqual(read.organisations?.[0]?.quota, { unit: 'tokens', rate: 5, burst: 6, plainCost: 200 })
     assert.equal(read.limits.headerBytes, 16_384)
   })
--- a/test/scaling/waves.test.ts
+++ b/test/scaling/waves.test.ts
@@ -1,4 +1,7 @@
-/** Waves of reclaims against the planned sizes, replayed in virtual time: one failure domain at a time, then a dry spell. */
+/**
+ * Simulates waves of reclaims in virtual time against the planned sizes. Each wave takes all reclaimable upstreams of a
+ * failure domain, and the platform has none for a while afterwards.
+ */
 import assert from 'node:assert/strict'
 import { describe, it } from 'node:test'
 import { SECOND } from '../../src/clock.js'
@@ -10,11 +13,11 @@
 const STEP: Milliseconds = 400
 const RECLAIMABLE_PRICE = 0.18
 
-/** At these times all reclaimable upstreams of a domain are taken back, and none are to be had for a while. */
+/** Reclaim of all reclaimable upstreams of a failure domain. The platform has none for `unavailableFor` afterwards. */
 interface Wave {
   readonly at: Milliseconds
   readonly domain: number
-  readonly dryFor: Milliseconds
+  readonly unavailableFor: Milliseconds
 }
 
 interface Upstream {
@@ -24,57 +27,58 @@
 }
 
 interface Outcome {
-  /** Fewest that served at any time, as a part of the load. */
-  readonly least: number
-  /** Mean price a second, as a part of the load. */
+  /** Minimum number of upstreams that served at any time, relative to the load. */
+  readonly minServing: number
+  /** Mean price per second, relative to the load. */
   readonly price: number
 }
 
-function play (domains: number, load: number, waves: readonly Wave[], length: Milliseconds): Outcome {
+function simulate (domains: number, load: number, waves: readonly Wave[], length: Milliseconds): Outcome {
   const failureDomains = Array.from({ length: domains }, (_, index) => `domain-${index}`)
-  const facts = { least: 1, most: 50, bootTime: BOOT, reclaimablePrice: RECLAIMABLE_PRICE, prices: {} }
+  const facts = { minUpstreams: 1, maxUpstreams: 50, bootTime: BOOT, reclaimablePrice: RECLAIMABLE_PRICE, prices: {} }
   let upstreams: Upstream[] = []
-  let dryUntil = -Infinity
-  let least = Infinity
+  let unavailableUntil = -Infinity
+  let lowest = Infinity
   let paid = 0
   for (let now = 0; now < length; now += STEP) {
     for (const wave of waves.filter(({ at }) => at >= now && at < now + STEP)) {
       upstreams = upstreams.filter(({ reclaimable, failureDomain }) => !reclaimable || failureDomain !== `domain-${wave.domain}`)
-      dryUntil = Math.max(dryUntil, now + wave.dryFor)
+      unavailableUntil = Math.max(unavailableUntil, now + wave.unavailableFor)
     }
     const present: PresentUpstream[] = upstreams.filter(({ servesFrom }) => servesFrom <= now).map(({ failureDomain, reclaimable }) => ({ failureDomain, reclaimable, leaving: false }))
-    for (const size of planPools({ facts, failureDomains, present, load, awaitReclaimable: false, refusedUntil: () => 0, now })) {
-      if (!size.reclaimable || now >= dryUntil) upstreams = resize(upstreams, size, now)
+    for (const size of planPools({ facts, failureDomains, present, load, assumeReclaimableRunning: false, unavailableUntil: () => 0, now })) {
+      if (!size.reclaimable || now >= unavailableUntil) upstreams = resize(upstreams, size, now)
     }
-    if (now >= 2 * BOOT) least = Math.min(least, present.length / load)
+    if (now >= 2 * BOOT) lowest = Math.min(lowest, present.length / load)
     paid += upstreams.reduce((sum, { reclaimable }) => sum + (reclaimable ? RECLAIMABLE_PRICE : 1), 0) * STEP
   }
-  return { least, price: paid / length / load }
+  return { minServing: lowest, price: paid / length / load }
 }
 
 function resize (upstreams: readonly Upstream[], { failureDomain, reclaimable, desired }: PoolSize, now: Milliseconds): Upstream[] {
-  const others = upstreams.filter((one) => one.failureDomain !== failureDomain || one.reclaimable !== reclaimable)
-  const pool = upstreams.filter((one) => !others.includes(one)).slice(0, desired)
+  const others = upstreams.filter((upstream) => upstream.failureDomain !== failureDomain || upstream.reclaimable !== reclaimable)
+  const pool = upstreams.filter((upstream) => !others.includes(upstream)).slice(0, desired)
   while (pool.length < desired) pool.push({ failureDomain, reclaimable, servesFrom: now + BOOT })
   return [...others, ...pool]
 }
 
 describe('waves of reclaims', () => {
-  // Three waves take a failure domain each, six seconds apart, and none can be had meanwhile. Questions wait for
-  // seconds where less than the load is left at any moment; lasting upstreams for all of it cost twice as much.
+  // Three waves, six seconds apart, reclaim one failure domain each, and the platform has no reclaimable upstreams
+  // meanwhile. If fewer upstreams than the load remain at any time, short requests wait for seconds. On-demand upstreams
+  // for the whole load would cost twice as much.
   for (const domains of [2, 3, 4, 5]) {
-    it(`leave enough for the load at any moment, at little cost on calm ones (${domains} failure domains)`, () => {
-      const waves = Array.from({ length: Math.min(3, domains) }, (_, index): Wave => ({ at: 20 * SECOND + index * 6 * SECOND, domain: index, dryFor: 13 * SECOND }))
-      const { least } = play(domains, 10, waves, 60 * SECOND)
-      assert.ok(least >= 1, `${least}`)
-      const calm = play(domains, 10, [], 60 * SECOND)
+    it(`leave enough upstreams for the load at any time, at low cost without waves (${domains} failure domains)`, () => {
+      const waves = Array.from({ length: Math.min(3, domains) }, (_, index): Wave => ({ at: 20 * SECOND + index * 6 * SECOND, domain: index, unavailableFor: 13 * SECOND }))
+      const { minServing } = simulate(domains, 10, waves, 60 * SECOND)
+      assert.ok(minServing >= 1, `${minServing}`)
+      const calm = simulate(domains, 10, [], 60 * SECOND)
       assert.ok(calm.price < 1.1, `${calm.price}`)
     })
   }
 
-  // Two waves come within a second, as after a failure of two failure domains, before anything else has booted.
-  it('leave enough where two of five failure domains are taken at once', () => {
-    const waves: Wave[] = [{ at: 20 * SECOND, domain: 0, dryFor: 9 * SECOND }, { at: 20_800, domain: 1, dryFor: 9 * SECOND }]
-    assert.ok(play(5, 10, waves, 60 * SECOND).least >= 1)
+  // Two waves within a second, as after the failure of two failure domains. No replacement has booted in between.
+  it('leave enough upstreams if two of five failure domains are reclaimed at once', () => {
+    const waves: Wave[] = [{ at: 20 * SECOND, domain: 0, unavailableFor: 9 * SECOND }, { at: 20_800, domain: 1, unavailableFor: 9 * SECOND }]
+    assert.ok(simulate(5, 10, waves, 60 * SECOND).minServing >= 1)
   })
 })
