--- a/bench/capacity/notes.ts
+++ b/bench/capacity/notes.ts
@@ -5,7 +5,7 @@
 import { createPeers } from '../../src/peer/client.js'
 import type { PeerClient } from '../../src/peer/client.js'
 import { createRandom } from '../../src/random.js'
-import { createNoteKeeper, createNoteWriter } from '../../src/request/index.js'
+import { createNoteReceiver, createNoteWriter } from '../../src/request/index.js'
 import type { NoteWriter, OpenNote } from '../../src/request/index.js'
 import { SIZES } from '../agreement/measure.js'
 import { HOME, listenAsPeer, PEER, PEER_KEY, REQUESTS_PER_SECOND } from './peer-pair.js'
@@ -62,7 +62,7 @@
  * const { bytes } = await measureNotes(1)
  */
 export async function measureNotes (seed: number): Promise<NoteRates> {
-  const keeper = createNoteKeeper()
+  const keeper = createNoteReceiver()
   const peer = await listenAsPeer({ notes: { receive: (batch) => ({ complete: keeper.receive(batch, 0) }) } })
   const counted = createCountedConnections(1)
   const client = createPeers(counted.connections, PEER_KEY).at(peer.address)
--- a/src/configuration/accept.ts
+++ b/src/configuration/accept.ts
@@ -1,90 +1,90 @@
 /**
- * Acceptance of a change: what to write, and what a read says about a write whose reply was lost.
+ * Acceptance of a configuration change: what to write, and how to settle a write whose reply was lost.
  *
- * One key holds the current revision. Before it is replaced, it is copied to the history, so that no
- * crash leaves a current revision whose predecessors are lost.
+ * One key holds the current revision. The current revision is copied to the history before it is replaced, so that a
+ * crash cannot leave a current revision without its predecessors.
  */
 import { configurationRevisionSchema } from './schema.js'
 import type { Configuration, ConfigurationRevision } from './schema.js'
 import { ServingError } from '../verdict.js'
 
-/** A change as the operator asks for it. */
+/** A change requested by an operator. */
 export interface ChangeRequest {
-  /** Minted once for the change and sent again with every attempt. */
+  /** Unique per change, and sent again with every attempt to apply it. */
   readonly changeId: string
   readonly author: string
   readonly reason: string
   readonly configuration: Configuration
-  /** Revision that the operator has seen and changes; 0 for none. */
+  /** Number of the revision on which the operator has based the change. 0 if there was none. */
   readonly base: number
 }
 
-/** The current revision as stored, with the service's revision for the compare-and-swap. */
+/** The current revision, and the revision of its key in the store for the compare-and-swap. */
 export interface StoredRevision {
   readonly stored: ConfigurationRevision
   readonly keyRevision: number
 }
 
-/** What an attempt does, given what is stored. */
+/** What an attempt to apply a change has to do. */
 export type Proposal =
   | { kind: 'write', revision: ConfigurationRevision }
   | { kind: 'already', revision: ConfigurationRevision }
   | { kind: 'unchanged', revision: ConfigurationRevision }
   | { kind: 'conflict', current: ConfigurationRevision | undefined }
 
-/** What a read says about a write whose outcome is unknown. */
+/** What became of a write whose outcome was unknown, according to a later read. */
 export type Settlement =
-  /** It took effect; `superseded` when another change has followed. */
+  /** The write took effect. `superseded` says whether another change has followed. */
   | { kind: 'accepted', superseded: boolean }
-  /** Another change took its place; it can never take effect. */
+  /** Another change was accepted instead. The write can no longer take effect. */
   | { kind: 'lost' }
-  /** The old value is still there: the write may still be on its way, only a repetition settles it. */
+  /** The old value is still stored. The write may still be in transit, so only a repeated write settles it. */
   | { kind: 'open' }
-  /** The history does not reach back far enough to tell. */
+  /** The history does not go back far enough to decide. */
   | { kind: 'untold' }
 
-/** Longest stored value; the service refuses larger ones. */
-export const LONGEST_VALUE = 1_000_000
+/** Maximum size of a stored revision in bytes. The key-value store refuses larger values. */
+export const MAX_VALUE_BYTES = 1_000_000
 
-/** Superseded revisions that are kept, one key each. */
-export const HISTORY_KEPT = 200
+/** Number of superseded revisions kept in the history, each under its own key. */
+export const MAX_HISTORY_REVISIONS = 200
 
 /**
- * What to write for a change.
+ * Decides what to write for a change.
  *
- * @param wall wall time of the change, for people
+ * @param wallTime wall time of the change, shown to people
  * @example
- * const proposal = propose(current, change, clock.wall())
+ * const proposal = proposeRevision(current, change, clock.wall())
  */
-export function propose (current: StoredRevision | undefined, change: ChangeRequest, wall: number): Proposal {
+export function proposeRevision (current: StoredRevision | undefined, change: ChangeRequest, wallTime: number): Proposal {
   const stored = current?.stored
   if (stored?.changeId === change.changeId) return { kind: 'already', revision: stored }
   if (change.base !== (stored?.revision ?? 0)) return { kind: 'conflict', current: stored }
   if (stored !== undefined && JSON.stringify(stored.configuration) === JSON.stringify(change.configuration)) return { kind: 'unchanged', revision: stored }
-  return { kind: 'write', revision: revisionFor(stored, change, wall) }
+  return { kind: 'write', revision: revisionFor(stored, change, wallTime) }
 }
 
 /**
- * Settles a write by what is stored now.
+ * Settles a write of unknown outcome from what is stored now.
  *
  * @param written the revision whose write has an unknown outcome
- * @param current what the current key holds now
- * @param archived what the history holds at the written revision's number, if anything
+ * @param current the revision that is stored as current
+ * @param archived the revision in the history with the number of the written one, if there is one
  * @example
- * settle(written, current?.stored, archived)
+ * settleWrite(written, current?.stored, archived)
  */
-export function settle (written: ConfigurationRevision, current: ConfigurationRevision | undefined, archived: ConfigurationRevision | undefined): Settlement {
-  const present = current?.revision ?? 0
-  if (present < written.revision) return { kind: 'open' }
-  if (present === written.revision) return current?.changeId === written.changeId ? { kind: 'accepted', superseded: false } : { kind: 'lost' }
+export function settleWrite (written: ConfigurationRevision, current: ConfigurationRevision | undefined, archived: ConfigurationRevision | undefined): Settlement {
+  const currentNumber = current?.revision ?? 0
+  if (currentNumber < written.revision) return { kind: 'open' }
+  if (currentNumber === written.revision) return current?.changeId === written.changeId ? { kind: 'accepted', superseded: false } : { kind: 'lost' }
   if (archived === undefined) return { kind: 'untold' }
   return archived.changeId === written.changeId ? { kind: 'accepted', superseded: true } : { kind: 'lost' }
 }
 
 /**
- * A stored value as a revision.
+ * Parses a stored revision.
  *
- * @throws ServingError `internal` when the value is not a revision
+ * @throws ServingError `internal` if the value is not a valid revision
  * @example
  * parseRevision(entry.value).revision
  */
@@ -97,26 +97,26 @@
 }
 
 /**
- * A revision as it is stored.
+ * Formats a revision for the store.
  *
- * @throws ServingError `too-large` when the service would refuse it
+ * @throws ServingError `too-large` if the result exceeds the maximum size of a stored revision
  * @example
  * const value = formatRevision(revision)
  */
 export function formatRevision (revision: ConfigurationRevision): string {
   const value = JSON.stringify(revision)
   const bytes = new TextEncoder().encode(value).length
-  if (bytes <= LONGEST_VALUE) return value
-  throw new ServingError(`the configuration takes ${bytes} bytes; ${LONGEST_VALUE} can be stored`, { code: 'too-large', verdict: 'not-run' })
+  if (bytes <= MAX_VALUE_BYTES) return value
+  throw new ServingError(`the configuration takes ${bytes} bytes; ${MAX_VALUE_BYTES} can be stored`, { code: 'too-large', verdict: 'not-run' })
 }
 
-function revisionFor (stored: ConfigurationRevision | undefined, change: ChangeRequest, wall: number): ConfigurationRevision {
+function revisionFor (stored: ConfigurationRevision | undefined, change: ChangeRequest, wallTime: number): ConfigurationRevision {
   return {
     revision: (stored?.revision ?? 0) + 1,
     changeId: change.changeId,
     author: change.author,
     reason: change.reason,
-    changedAt: wall,
+    changedAt: wallTime,
     configuration: change.configuration
   }
 }
--- a/src/configuration/change.ts
+++ b/src/configuration/change.ts
@@ -1,11 +1,11 @@
-/** An operators' document: checked, with clear refusals of what operators do not set. */
+/** Validation of a configuration document, with an explanation for settings that the system chooses itself. */
 import type * as z from 'zod'
 import { ServingError } from '../verdict.js'
 import { configurationSchema } from './schema.js'
 import type { Configuration, RequestClass } from './schema.js'
 
-/** Words in keys that belong to the system's own decisions, and why. */
-const OWN_DECISIONS: ReadonlyArray<{ words: readonly string[], reason: string }> = [
+/** Words in keys for settings that the system chooses itself, and the reason given to the operator. */
+const RESERVED_KEYS: ReadonlyArray<{ words: readonly string[], reason: string }> = [
   {
     words: ['weight', 'weights', 'priority', 'priorities', 'share', 'shares'],
     reason: 'weights are not set: the system derives order and shares from the targets of the classes'
@@ -21,15 +21,15 @@
 ]
 
 /**
- * Checks a document that was parsed from TOML.
+ * Validates a document that was parsed from TOML.
  *
- * @throws ServingError `invalid-request` that lists every problem by its path
+ * @throws ServingError `invalid-request` that lists all problems with their paths
  * @example
  * const configuration = checkConfiguration(parseToml(text, 'configuration.toml'))
  */
 export function checkConfiguration (document: unknown): Configuration {
   const result = configurationSchema.safeParse(document)
-  const problems = result.success ? crossProblems(result.data) : result.error.issues.flatMap(problemsOf)
+  const problems = result.success ? crossReferenceProblems(result.data) : result.error.issues.flatMap(problemsOf)
   if (result.success && problems.length === 0) return result.data
   throw new ServingError(problems.join('; '), { code: 'invalid-request', verdict: 'not-run' })
 }
@@ -37,16 +37,16 @@
 function problemsOf (issue: z.core.$ZodIssue): string[] {
   const path = issue.path.map(String)
   if (issue.code !== 'unrecognized_keys') return [`${path.join('.') || 'top level'}: ${issue.message}`]
-  return issue.keys.map((key) => `${[...path, key].join('.')}: ${reasonAgainst(key) ?? 'unknown key'}`)
+  return issue.keys.map((key) => `${[...path, key].join('.')}: ${reservedKeyReason(key) ?? 'unknown key'}`)
 }
 
-function reasonAgainst (key: string): string | undefined {
+function reservedKeyReason (key: string): string | undefined {
   const words = key.toLowerCase().split(/[^a-z]+/)
-  return OWN_DECISIONS.find((decision) => words.some((word) => decision.words.includes(word)))?.reason
+  return RESERVED_KEYS.find((decision) => words.some((word) => decision.words.includes(word)))?.reason
 }
 
-/** Rules between parts, which no single part's schema can check. */
-function crossProblems (configuration: Configuration): string[] {
+/** Problems that involve several parts of the document, which their schemas cannot detect. */
+function crossReferenceProblems (configuration: Configuration): string[] {
   return [
     ...repeatedNames('services', configuration.services),
     ...repeatedNames('organisations', configuration.organisations),
@@ -65,14 +65,14 @@
   })
 }
 
-/** A key that two organisations share would let one be taken for the other. */
+/** Keys of more than one organisation. A request with such a key could be attributed to the wrong organisation. */
 function sharedKeys (configuration: Configuration): string[] {
   const owners = new Map<string, string>()
-  return configuration.organisations.flatMap((organisation, index) => organisation.key_sha256.flatMap((key, place) => {
+  return configuration.organisations.flatMap((organisation, index) => organisation.key_sha256.flatMap((key, keyIndex) => {
     const owner = owners.get(key)
     owners.set(key, organisation.name)
     if (owner === undefined) return []
-    return [`organisations.${index}.key_sha256.${place}: the key already belongs to "${owner}"`]
+    return [`organisations.${index}.key_sha256.${keyIndex}: the key already belongs to "${owner}"`]
   }))
 }
 
--- a/src/configuration/delivery.ts
+++ b/src/configuration/delivery.ts
@@ -1,33 +1,36 @@
 /**
- * How a new revision goes down a tree of nodes: each node hands it to the heads of a few groups, and
- * each head to its own. The groups are named in the message, so nodes need not agree on who there is.
+ * Delivery of a new revision through a tree of nodes.
+ *
+ * Each node sends the revision to the heads of a few groups, and each head delivers it to the rest of its group. The
+ * message lists the group, so the nodes need not have the same view of the fleet.
  */
 
-/** Groups that one node hands a revision to: 370 nodes are reached in five steps. */
+/** Number of groups to which one node sends a revision. 370 nodes are reached in five steps. */
 export const DELIVERY_FAN_OUT = 4
 
-/** Share of the time that a node leaves to the nodes below it, so that its own answer is in time. */
-const SHARE_BELOW = 0.7
+/** Fraction of the available time that a node gives to the nodes below it, so that its own answer is on time. */
+const SUBTREE_TIME_FRACTION = 0.7
 
 /**
- * Parts targets into groups of nearly equal size; the first of each is its head.
+ * Splits targets into groups of nearly equal size. The first target of each group is its head.
  *
+ * @param groupCount maximum number of groups
  * @example
- * partTargets([1, 2, 3, 4, 5], 2) // [[1, 3, 5], [2, 4]]
+ * splitTargets([1, 2, 3, 4, 5], 2) // [[1, 3, 5], [2, 4]]
  */
-export function partTargets<T> (targets: readonly T[], groups: number): T[][] {
-  const parts: T[][] = Array.from({ length: Math.min(groups, targets.length) }, () => [])
-  targets.forEach((target, index) => parts[index % groups]?.push(target))
-  return parts
+export function splitTargets<T> (targets: readonly T[], groupCount: number): T[][] {
+  const groups: T[][] = Array.from({ length: Math.min(groupCount, targets.length) }, () => [])
+  targets.forEach((target, index) => groups[index % groupCount]?.push(target))
+  return groups
 }
 
 /**
- * Time that the nodes below have, in milliseconds.
+ * Time available to the nodes below this one, in milliseconds.
  *
- * @param within time that the sender waits for this node
+ * @param within time for which the sender waits for this node, in milliseconds
  * @example
- * timeBelow(4_000) // 2_800
+ * timeForSubtree(4_000) // 2_800
  */
-export function timeBelow (within: number): number {
-  return within * SHARE_BELOW
+export function timeForSubtree (within: number): number {
+  return within * SUBTREE_TIME_FRACTION
 }
--- a/src/configuration/difference.ts
+++ b/src/configuration/difference.ts
@@ -1,19 +1,21 @@
-/** What a change of configuration changes, in the operators' words. */
+/** Differences between two configurations, in the terms of the document that operators write. */
 import type { Configuration } from './schema.js'
 
-/** One change, by the part of the document that it is in. */
+/** One difference, with the part of the document that contains it. */
 export interface DifferenceLine {
   readonly part: 'deployment' | 'service' | 'organisation' | 'class'
-  /** Name of the service, organisation or class; the deployment's own name. */
+  /** Name of the service, organisation, class or deployment. */
   readonly name: string
   readonly change: 'added' | 'removed' | 'changed'
-  /** Field within the part, such as `target.first_token_ms`; empty when the whole part came or went. */
+  /**
+   * Path of the field within the part, such as `target.first_token_ms`. Empty if the whole part was added or removed.
+   */
   readonly field: string
   readonly before: string
   readonly after: string
 }
 
-/** All changes between two configurations, in the document's order. */
+/** All differences between two configurations, in the order of the document. */
 export type Difference = readonly DifferenceLine[]
 
 type Part = DifferenceLine['part']
@@ -23,7 +25,9 @@
 }
 
 /**
- * @param before undefined when nothing was in force
+ * Compares two configurations.
+ *
+ * @param before undefined if there was no configuration
  * @example
  * difference(before, after).map(describeDifference)
  */
@@ -31,7 +35,7 @@
   const deployment = before === undefined ? [] : [before.deployment]
   return [
     ...differenceOf('deployment', deployment.map((part) => ({ ...part, name: after.deployment.name })), [after.deployment]),
-    ...renamed(before, after),
+    ...deploymentRename(before, after),
     ...differenceOf('service', before?.services ?? [], after.services),
     ...differenceOf('organisation', before?.organisations ?? [], after.organisations),
     ...differenceOf('class', before?.classes ?? [], after.classes)
@@ -39,7 +43,7 @@
 }
 
 /**
- * One change as a line of text.
+ * Describes one difference in a line of text.
  *
  * @example
  * describeDifference(line) // 'class booking: target.whole_answer_ms 3000 -> 2000'
@@ -53,7 +57,7 @@
   }
 }
 
-function renamed (before: Configuration | undefined, after: Configuration): DifferenceLine[] {
+function deploymentRename (before: Configuration | undefined, after: Configuration): DifferenceLine[] {
   if (before === undefined || before.deployment.name === after.deployment.name) return []
   return [{ part: 'deployment', name: after.deployment.name, change: 'changed', field: 'name', before: before.deployment.name, after: after.deployment.name }]
 }
@@ -61,15 +65,15 @@
 function differenceOf (part: Part, before: readonly Named[], after: readonly Named[]): DifferenceLine[] {
   const earlier = new Map(before.map((item) => [item.name, item]))
   const later = new Set(after.map((item) => item.name))
-  const removed = before.filter((item) => !later.has(item.name)).map((item) => whole(part, item.name, 'removed'))
+  const removed = before.filter((item) => !later.has(item.name)).map((item) => wholeItemLine(part, item.name, 'removed'))
   const rest = after.flatMap((item) => {
     const old = earlier.get(item.name)
-    return old === undefined ? [whole(part, item.name, 'added')] : fieldsChanged(part, old, item)
+    return old === undefined ? [wholeItemLine(part, item.name, 'added')] : fieldsChanged(part, old, item)
   })
   return [...removed, ...rest]
 }
 
-function whole (part: Part, name: string, change: 'added' | 'removed'): DifferenceLine {
+function wholeItemLine (part: Part, name: string, change: 'added' | 'removed'): DifferenceLine {
   return { part, name, change, field: '', before: '', after: '' }
 }
 
@@ -79,8 +83,8 @@
   const fields = new Set([...earlier.keys(), ...later.keys()])
   return [...fields].flatMap((field) => {
     const old = earlier.get(field) ?? ''
-    const fresh = later.get(field) ?? ''
-    return old === fresh ? [] : [{ part, name: after.name, change: 'changed' as const, field, before: old, after: fresh }]
+    const latest = later.get(field) ?? ''
+    return old === latest ? [] : [{ part, name: after.name, change: 'changed' as const, field, before: old, after: latest }]
   })
 }
 
--- a/src/configuration/index.ts
+++ b/src/configuration/index.ts
@@ -1,9 +1,9 @@
-/** The operators' configuration: its schema, the check of a document, differences and acceptance. */
+/** The operators' configuration: schema, validation, differences, acceptance and delivery. */
 export { configurationRevisionSchema, configurationSchema, findClass, findOrganisation, findService } from './schema.js'
 export type { Configuration, ConfigurationRevision, DeploymentTarget, RequestClass, Service, Target } from './schema.js'
 export { checkConfiguration } from './change.js'
 export { describeDifference, difference } from './difference.js'
 export type { Difference } from './difference.js'
-export { formatRevision, HISTORY_KEPT, parseRevision, propose, settle } from './accept.js'
+export { formatRevision, MAX_HISTORY_REVISIONS, parseRevision, proposeRevision, settleWrite } from './accept.js'
 export type { ChangeRequest, Settlement, StoredRevision } from './accept.js'
-export { DELIVERY_FAN_OUT, partTargets, timeBelow } from './delivery.js'
+export { DELIVERY_FAN_OUT, splitTargets, timeForSubtree } from './delivery.js'
--- a/src/configuration/schema.ts
+++ b/src/configuration/schema.ts
@@ -1,37 +1,39 @@
 /**
- * What operators set: services, organisations and classes of work with their targets. Targets only;
- * weights, addresses and instances are no part of it and are refused by name.
+ * Schema of the configuration that operators write: services, organisations, and request classes with their targets.
+ *
+ * It contains targets only. Weights, addresses and instances are chosen by the system and are refused with an
+ * explanation.
  */
 import * as z from 'zod'
 import { classNameSchema, organisationNameSchema, serviceNameSchema } from '../identifiers.js'
 import type { ClassName, OrganisationName, ServiceName } from '../identifiers.js'
 
-/** How quickly and how reliably a class must be answered. Durations in milliseconds. */
+/** How fast and how reliably the requests of a class must be answered. Durations are in milliseconds. */
 export const targetSchema = z.strictObject({
-  /** Time to the first token; only for services of kind `model`. */
+  /** Time to the first token. Only for services of kind `model`. */
   first_token_ms: z.number().positive().optional(),
-  /** Mean time between tokens; only for services of kind `model`. */
+  /** Mean time between tokens. Only for services of kind `model`. */
   between_tokens_ms: z.number().positive().optional(),
-  /** Time to the end of the whole answer. */
+  /** Time to the end of the answer. */
   whole_answer_ms: z.number().positive(),
-  /** Share of answers that must meet the times above. */
+  /** Fraction of answers that must meet the times above. */
   quantile: z.number().gt(0).lt(1),
-  /** Share of requests that must be served: neither refused nor lost. */
+  /** Fraction of requests that must be served, which means neither refused nor lost. */
   reliability: z.number().gt(0).lt(1)
 })
 export type Target = z.infer<typeof targetSchema>
 
-/** A kind of work, the service that answers it and its target. */
+/** A request class, the service that serves it, and its target. */
 export const classSchema = z.strictObject({
   name: classNameSchema,
   service: serviceNameSchema,
-  /** False for bookings and orders: such a request runs at most once. */
+  /** False for requests that must run at most once, such as bookings and orders. */
   idempotent: z.boolean(),
   target: targetSchema
 })
 export type RequestClass = z.infer<typeof classSchema>
 
-/** Servers that are interchangeable: engines of one model, or processes of one plain service. */
+/** Interchangeable upstreams: engines of one model, or processes of one plain service. */
 export const serviceSchema = z.discriminatedUnion('kind', [
   z.strictObject({
     kind: z.literal('model'),
@@ -46,26 +48,28 @@
 ])
 export type Service = z.infer<typeof serviceSchema>
 
-/** Hex SHA-256 of a bearer key; keys themselves are never stored. */
+/** SHA-256 of a bearer key in hexadecimal. Keys themselves are never stored. */
 const keyHashSchema = z.string().regex(/^[0-9a-f]{64}$/, 'must be the hex SHA-256 of a key')
 
-/** A customer of the deployment. */
+/** An organisation that sends requests, with the hashes of its keys. */
 export const organisationSchema = z.strictObject({
   name: organisationNameSchema,
   key_sha256: z.array(keyHashSchema).min(1)
 })
 export type Organisation = z.infer<typeof organisationSchema>
 
-/** Targets of the deployment as a whole. They say what to prefer where class targets leave a choice. */
+/**
+ * Targets of the whole deployment. They determine what is preferred where the targets of the classes leave a choice.
+ */
 export const deploymentTargetSchema = z.strictObject({
-  /** Money for 1,000 answers within target that should not be exceeded, in the cloud's currency. */
+  /** Maximum desired cost of 1,000 answers within target, in the cloud's currency. */
   cost_per_thousand_answers: z.number().positive(),
-  /** Tokens computed again after reclaims, per 1,000 tokens generated, that should not be exceeded. */
+  /** Maximum desired number of tokens recomputed after reclaims, per 1,000 generated tokens. */
   recomputed_per_thousand_tokens: z.number().positive()
 })
 export type DeploymentTarget = z.infer<typeof deploymentTargetSchema>
 
-/** The operators' document, as applied from a file. */
+/** The document that operators write. */
 export const configurationSchema = z.strictObject({
   deployment: z.strictObject({ name: z.string().min(1), target: deploymentTargetSchema }),
   services: z.array(serviceSchema).min(1),
@@ -74,22 +78,24 @@
 })
 export type Configuration = z.infer<typeof configurationSchema>
 
-/** A configuration with its place in history, as kept in the key-value service. */
+/** A revision of the configuration, as stored in the key-value store. */
 export const configurationRevisionSchema = z.strictObject({
-  /** Strictly rising by one. */
+  /** Number of the revision. Increases by one with every change. */
   revision: z.number().int().positive(),
-  /** Minted by the operator's command, settles an unknown outcome by reading back. */
+  /** Created by the operator's command. Identifies the change when a write of unknown outcome is settled by a read. */
   changeId: z.string().min(8),
   author: z.string(),
   reason: z.string(),
-  /** Wall time of the change, for people. */
+  /** Wall time of the change, shown to people. */
   changedAt: z.number(),
   configuration: configurationSchema
 })
 export type ConfigurationRevision = z.infer<typeof configurationRevisionSchema>
 
 /**
- * @returns the class of that name, or undefined
+ * Finds a request class by its name.
+ *
+ * @returns undefined if there is no such class
  * @example
  * findClass(configuration, classNameSchema.parse('booking'))?.idempotent // false
  */
@@ -98,7 +104,9 @@
 }
 
 /**
- * @returns the service of that name, or undefined
+ * Finds a service by its name.
+ *
+ * @returns undefined if there is no such service
  * @example
  * findService(configuration, requestClass.service)?.kind // 'model'
  */
@@ -107,11 +115,11 @@
 }
 
 /**
- * Organisation that a key belongs to.
+ * Finds the organisation that a key belongs to.
  *
- * @param keyHash hex SHA-256 of the presented key
- * @param equal constant-time comparison of two hex hashes
- * @returns the organisation's name, or undefined for an unknown key
+ * @param keyHash SHA-256 of the presented key in hexadecimal
+ * @param equal constant-time comparison of two hexadecimal hashes
+ * @returns name of the organisation, or undefined if the key is unknown
  * @example
  * findOrganisation(configuration, sha256(key), constantTimeEqual)
  */
--- a/src/entry/attempt.ts
+++ b/src/entry/attempt.ts
@@ -129,7 +129,7 @@
 function accept (context: ExecutionContext, execution: Execution): void {
   if (execution.accepted) return
   execution.accept()
-  context.retries.firstAttempt(execution.request.class)
+  context.retries.recordFirstAttempt(execution.request.class)
   context.bookkeeping.accepted(execution)
   context.notes.open(execution)
 }
--- a/src/entry/configuration-change.ts
+++ b/src/entry/configuration-change.ts
@@ -1,7 +1,7 @@
 /** Acceptance of configuration changes by the key-value service: apply, roll back, history. */
 import type { Clock, Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
-import { checkConfiguration, difference, formatRevision, HISTORY_KEPT, parseRevision, propose, settle } from '../configuration/index.js'
+import { checkConfiguration, difference, formatRevision, MAX_HISTORY_REVISIONS, parseRevision, proposeRevision, settleWrite } from '../configuration/index.js'
 import type { ChangeRequest, ConfigurationRevision, Difference, Settlement, StoredRevision } from '../configuration/index.js'
 import { ABSENT } from '../protocols/key-value.js'
 import type { KeyValue, SwapResult } from '../protocols/key-value.js'
@@ -67,7 +67,7 @@
  */
 export async function applyChange (options: ChangeOptions, change: ChangeRequest): Promise<ChangeOutcome> {
   const current = await beforeWriting(() => readCurrent(options.store, options.signal))
-  const proposal = propose(current, change, options.clock.wall())
+  const proposal = proposeRevision(current, change, options.clock.wall())
   switch (proposal.kind) {
     case 'already': return { kind: 'accepted', revision: proposal.revision, superseded: false }
     case 'unchanged': return proposal
@@ -164,12 +164,12 @@
   const current = (await readCurrent(options.store, options.signal))?.stored
   const superseded = current !== undefined && current.revision > written.revision
   const archived = superseded ? await readRevision(options.store, written.revision, options.signal) : undefined
-  return settle(written, current, archived)
+  return settleWrite(written, current, archived)
 }
 
 /** A base that has moved on may have been moved by an earlier attempt of the same change. */
 async function conflictOrAccepted (options: ChangeOptions, change: ChangeRequest, current: ConfigurationRevision | undefined): Promise<ChangeOutcome> {
-  const revisions = await beforeWriting(() => readHistory(options.store, HISTORY_KEPT, options.signal))
+  const revisions = await beforeWriting(() => readHistory(options.store, MAX_HISTORY_REVISIONS, options.signal))
   const own = revisions.find((revision) => revision.changeId === change.changeId)
   if (own !== undefined) return { kind: 'accepted', revision: own, superseded: own.revision !== revisions[0]?.revision }
   return conflict(change, current)
@@ -193,7 +193,7 @@
 }
 
 async function dropOldest (options: ChangeOptions, revision: number): Promise<void> {
-  const oldest = revision - HISTORY_KEPT - 1
+  const oldest = revision - MAX_HISTORY_REVISIONS - 1
   if (oldest < 1) return
   try {
     const entry = await options.store.get(historyKey(oldest), options.signal)
--- a/src/entry/delivery.ts
+++ b/src/entry/delivery.ts
@@ -1,7 +1,7 @@
 /** Hands a configuration to nodes at once, down a tree, and gathers who has not confirmed. */
 import type { Clock, Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
-import { DELIVERY_FAN_OUT, partTargets } from '../configuration/index.js'
+import { DELIVERY_FAN_OUT, splitTargets } from '../configuration/index.js'
 import type { ConfigurationRevision } from '../configuration/index.js'
 import type { Incarnation } from '../identifiers.js'
 import type { DeliveryTarget } from '../peer/agreement.js'
@@ -29,7 +29,7 @@
  * const missing = await deliverTo(options, configuration, targets, 4_000)
  */
 export async function deliverTo (options: DeliveryOptions, configuration: ConfigurationRevision, targets: readonly DeliveryTarget[], within: Milliseconds): Promise<Incarnation[]> {
-  const groups = partTargets(targets, DELIVERY_FAN_OUT)
+  const groups = splitTargets(targets, DELIVERY_FAN_OUT)
   const missing = await Promise.all(groups.map((group) => deliverToGroup(options, configuration, group, within)))
   return missing.flat()
 }
--- a/src/entry/generation.ts
+++ b/src/entry/generation.ts
@@ -142,7 +142,7 @@
         case 'append':
           noteFirstToken(context, execution, upstream)
           answer.append(effect.token)
-          await answer.room(READ_AHEAD, signal)
+          await answer.waitForReaders(READ_AHEAD, signal)
           break
         case 'finish': return { kind: 'finished', finish: effect.finish, usage: effect.usage }
         case 'cancel':
--- a/src/entry/hand-over.ts
+++ b/src/entry/hand-over.ts
@@ -9,7 +9,7 @@
 import type { Peers } from '../peer/client.js'
 import type { ForwardedPart, HandedExecution, HandOver } from '../peer/request.js'
 import type { HomeRecord, HomeTable, StreamPosition } from '../request/index.js'
-import { decideContinuation, decideLeaving, divide, verdictOf } from '../request/index.js'
+import { decideContinuation, decideHandOver, splitIntoMessages, verdictForOutcome } from '../request/index.js'
 import type { Execution } from './execution.js'
 import { toAnswerPart, toPart } from './forwarded.js'
 import type { Executions } from './submission.js'
@@ -60,7 +60,7 @@
  */
 export async function handOverAll (options: HandOverOptions): Promise<void> {
   const { home, executions, clock, signal } = options
-  const records = new Map(home.giveAway()?.map((record) => [record.id, record]))
+  const records = new Map(home.beginHandOver()?.map((record) => [record.id, record]))
   const isOver = (): boolean => clock.now() >= (options.deadline() ?? Infinity) - MARGIN
   while (!signal.aborted) {
     // Without a successor everything ends here, however long it takes.
@@ -118,13 +118,13 @@
 /** Streams, and requests that have not been dispatched, can go on elsewhere at any moment. */
 async function moveStreams (options: HandOverOptions, records: Map<RequestId, HomeRecord>): Promise<void> {
   const movable = options.executions.open().filter((execution) => records.has(execution.request.id) && isMovable(execution))
-  for (const batch of divide(movable, sizeOf, BOUNDS)) await moveBatch(options, records, batch)
+  for (const batch of splitIntoMessages(movable, sizeOf, BOUNDS)) await moveBatch(options, records, batch)
 }
 
 function isMovable (execution: Execution): boolean {
   const { request, attempt, dispatched } = execution
   const handle = attempt?.handle === '' ? undefined : attempt?.handle
-  return decideLeaving({ request, dispatched: dispatched && attempt !== undefined, handle }) === 'move'
+  return decideHandOver({ request, dispatched: dispatched && attempt !== undefined, handle }) === 'move'
 }
 
 async function moveBatch (options: HandOverOptions, records: Map<RequestId, HomeRecord>, batch: readonly Execution[]): Promise<void> {
@@ -161,7 +161,7 @@
   if (open) return { ...record, ended: { outcome: { kind: 'unknown' }, verdict: 'may-have-run' } }
   const outcome = ended?.outcome ?? { kind: 'unknown' as const }
   const end = ended?.answer.end()
-  return { ...record, ended: { outcome, verdict: end?.kind === 'failed' ? end.failure.verdict : verdictOf(outcome) } }
+  return { ...record, ended: { outcome, verdict: end?.kind === 'failed' ? end.failure.verdict : verdictForOutcome(outcome) } }
 }
 
 type Sent = { kind: 'taken', by: Incarnation } | { kind: 'nobody' } | { kind: 'doubtful' }
@@ -186,7 +186,7 @@
       case 'doubtful':
         log.warn('hand-over-doubtful', { successor: successor.incarnation, requests: free.size })
         return { kind: 'doubtful' }
-      case 'refused': home.unsent([...free])
+      case 'refused': home.unassign([...free])
     }
   }
   return { kind: 'nobody' }
--- a/src/entry/membership-keeper.ts
+++ b/src/entry/membership-keeper.ts
@@ -5,7 +5,7 @@
 import Emittery from 'emittery'
 import type { Clock, Milliseconds } from '../clock.js'
 import { every, MINUTE, SECOND } from '../clock.js'
-import { timeBelow } from '../configuration/index.js'
+import { timeForSubtree } from '../configuration/index.js'
 import type { ConfigurationRevision } from '../configuration/index.js'
 import type { Address, Incarnation, OrganisationName } from '../identifiers.js'
 import type { Log } from '../log.js'
@@ -285,7 +285,7 @@
       deliver: async (delivery) => {
         configuration.heard()
         configuration.offer(delivery.configuration, 'delivery')
-        const missing = await deliverTo(deliveryOptions, delivery.configuration, delivery.below, timeBelow(delivery.within_ms))
+        const missing = await deliverTo(deliveryOptions, delivery.configuration, delivery.below, timeForSubtree(delivery.within_ms))
         return { revision: configuration.revision(), missing }
       }
     },
--- a/src/entry/note-keeper.ts
+++ b/src/entry/note-keeper.ts
@@ -11,8 +11,8 @@
 import { PEER_TIMEOUT } from '../peer/client.js'
 import type { Peers } from '../peer/client.js'
 import type { NoteHandlers } from '../peer/notes.js'
-import { createNoteKeeper, createNoteWriter } from '../request/index.js'
-import type { DeathAccount, HomeRecord, HomeTable, OpenNote, Request, Salvage } from '../request/index.js'
+import { createNoteReceiver, createNoteWriter } from '../request/index.js'
+import type { DeadHomeCounts, HomeRecord, HomeTable, OpenNote, Request, RecoveryDecision } from '../request/index.js'
 import type { Execution } from './execution.js'
 import type { NoteJournal } from './note-journal.js'
 import type { Executions } from './submission.js'
@@ -38,7 +38,7 @@
   /** Calls back for each incarnation that has gone for good. */
   readonly onGone: (listener: (incarnation: Incarnation) => void) => void
   /** Told what was open at a node that died. */
-  readonly onAccount: (account: DeathAccount) => void
+  readonly onAccount: (account: DeadHomeCounts) => void
   readonly log: Log
   readonly signal: AbortSignal
 }
@@ -55,7 +55,7 @@
  */
 export function createNotes (own: Incarnation, clock: Clock): Notes {
   const writer = createNoteWriter(own)
-  const keeper = createNoteKeeper()
+  const keeper = createNoteReceiver()
   let options: NoteOptions | undefined
 
   async function send (): Promise<void> {
@@ -73,10 +73,10 @@
 
   function settle (home: Incarnation): void {
     if (options === undefined) return
-    const { salvage, account } = keeper.died(home)
+    const { decisions: salvage, counts: account } = keeper.died(home)
     if (salvage.length === 0) return
     options.onAccount(account)
-    const inherited = new Set(options.home.inherit(home, salvage.map(toRecord), clock.now()))
+    const inherited = new Set(options.home.takeOver(home, salvage.map(toRecord), clock.now()))
     for (const one of salvage) {
       if (one.kind === 'resume' && inherited.has(one.note.id)) resume(options.executions, one, home)
     }
@@ -120,7 +120,7 @@
   }
 }
 
-function toRecord (salvage: Salvage): HomeRecord {
+function toRecord (salvage: RecoveryDecision): HomeRecord {
   const { id, organisation, fingerprint } = salvage.note
   if (salvage.kind === 'resume') return { id, organisation, fingerprint }
   const outcome = salvage.outcome === 'lost' ? { kind: 'lost' as const, verdict: 'may-have-run' as const } : { kind: 'unknown' as const }
@@ -128,7 +128,7 @@
 }
 
 /** The prompt died with the home: the stream can be followed, from its beginning, and never run again. */
-function resume (executions: Executions, salvage: Extract<Salvage, { kind: 'resume' }>, home: Incarnation): void {
+function resume (executions: Executions, salvage: Extract<RecoveryDecision, { kind: 'resume' }>, home: Incarnation): void {
   const { id, organisation, class: requestClass, idempotent, fingerprint } = salvage.note
   const request: Request = {
     id,
--- a/src/entry/permits.ts
+++ b/src/entry/permits.ts
@@ -129,7 +129,7 @@
     probing.add(holder)
     client.send(record.peerAddress, { kind: 'observe', evidence: [] }, 'now')
       .catch((error) => {
-        if (toServingError(error, 'may-have-run').verdict === 'not-run') guard.holderGone(holder)
+        if (toServingError(error, 'may-have-run').verdict === 'not-run') guard.releaseHolder(holder)
       })
       .finally(() => clock.sleep(PROBE_PERIOD))
       .finally(() => probing.delete(holder))
@@ -139,7 +139,7 @@
   const handlers: SuspicionHandlers = {
     acquire: (request) => {
       const decision = guard.acquire(request, clock.now())
-      if (decision.kind === 'wait') for (const holder of guard.holders(request.evidence.fingerprint)) probe(holder)
+      if (decision.kind === 'wait') for (const holder of guard.blockingHolders(request.evidence.fingerprint)) probe(holder)
       return decision
     },
     release,
@@ -168,8 +168,8 @@
       }
     },
     holderGone: (holder) => {
-      isolation.holderGone(holder)
-      guard.holderGone(holder)
+      isolation.releaseHolder(holder)
+      guard.releaseHolder(holder)
     },
     giveAway: async () => {
       const others = options.nodes().filter((node) => node.incarnation !== own)
--- a/src/entry/relay.ts
+++ b/src/entry/relay.ts
@@ -7,7 +7,7 @@
 import { PEER_TIMEOUT, peerFailure } from '../peer/client.js'
 import type { Peers } from '../peer/client.js'
 import type { ForwardedPart } from '../peer/request.js'
-import { homeGoneFailure, rankNodes } from '../request/index.js'
+import { homeUnreachableFailure, rankNodes } from '../request/index.js'
 import type { AnswerPart, Request } from '../request/index.js'
 import { ServingError } from '../verdict.js'
 import type { AnswerSource } from './answer-source.js'
@@ -64,7 +64,7 @@
     let heir: Address | undefined
     for (let hops = 0; !signal.aborted && hops <= MOST_HOPS;) {
       const address = heir ?? addressOf(holder) ?? await findHeir(wanted, holder, signal)
-      if (address === undefined) throw homeGoneFailure(holder)
+      if (address === undefined) throw homeUnreachableFailure(holder)
       const watch = createWatch(signal)
       try {
         const client = (failures === 0 ? peers : freshPeers).streamAt(address)
@@ -97,7 +97,7 @@
         watch.end()
       }
     }
-    if (!signal.aborted) throw homeGoneFailure(holder)
+    if (!signal.aborted) throw homeUnreachableFailure(holder)
   }
 
   function addressOf (incarnation: Incarnation): Address | undefined {
@@ -164,7 +164,7 @@
 function unreachable (holder: Incarnation, error: unknown, address: Address): ServingError {
   const failure = peerFailure(error, address)
   if (failure.code !== 'connection-lost' && failure.code !== 'timeout' && failure.code !== 'cancelled') return failure
-  return homeGoneFailure(holder)
+  return homeUnreachableFailure(holder)
 }
 
 interface Watch {
--- a/src/entry/request-handlers.ts
+++ b/src/entry/request-handlers.ts
@@ -44,7 +44,7 @@
     handOver: (handOver) => {
       if (options.stopping()) return { taken: false }
       options.onHandOver(handOver.from)
-      const fresh = new Set(home.inherit(handOver.from, handOver.records, clock.now()))
+      const fresh = new Set(home.takeOver(handOver.from, handOver.records, clock.now()))
       for (const handed of handOver.executions) {
         if (fresh.has(handed.request.id)) continueHanded(executions, handed, handOver.from)
       }
--- a/src/entry/submission.ts
+++ b/src/entry/submission.ts
@@ -2,7 +2,7 @@
 import type { Milliseconds } from '../clock.js'
 import { every, SECOND } from '../clock.js'
 import type { Incarnation, OrganisationName, RequestId } from '../identifiers.js'
-import { submissionFailure, verdictOf } from '../request/index.js'
+import { submissionFailure, verdictForOutcome } from '../request/index.js'
 import type { AnswerEnd, HomeTable, Outcome, Request, StreamPosition, SubmissionDecision } from '../request/index.js'
 import { ServingError } from '../verdict.js'
 import { runAttempts } from './attempts.js'
@@ -224,7 +224,7 @@
 }
 
 function verdictOfEnd (end: AnswerEnd, outcome: Outcome) {
-  return end.kind === 'failed' ? end.failure.verdict : verdictOf(outcome)
+  return end.kind === 'failed' ? end.failure.verdict : verdictForOutcome(outcome)
 }
 
 function duplicateFailure (): ServingError {
--- a/src/report/death.ts
+++ b/src/report/death.ts
@@ -5,7 +5,7 @@
 import * as z from 'zod'
 import type { Milliseconds } from '../clock.js'
 import { classNameSchema, incarnationSchema, organisationNameSchema } from '../identifiers.js'
-import type { DeathAccount } from '../request/index.js'
+import type { DeadHomeCounts } from '../request/index.js'
 
 const count = z.number().int()
 
@@ -28,7 +28,7 @@
  * @example
  * notes.push(...deathNotesOf(account, periodOf(clock.wall())))
  */
-export function deathNotesOf (account: DeathAccount, period: Milliseconds): DeathNote[] {
+export function deathNotesOf (account: DeadHomeCounts, period: Milliseconds): DeathNote[] {
   return account.rows.map((row) => ({
     period,
     incarnation: account.incarnation,
--- a/src/report/ledger.ts
+++ b/src/report/ledger.ts
@@ -4,7 +4,7 @@
  */
 import type { Milliseconds } from '../clock.js'
 import type { RequestId, ServiceName } from '../identifiers.js'
-import type { DeathAccount, Outcome, RequestKey, RequestTimes } from '../request/index.js'
+import type { DeadHomeCounts, Outcome, RequestKey, RequestTimes } from '../request/index.js'
 import type { Counts } from './counts.js'
 import { deathNotesOf } from './death.js'
 import type { DeathNote } from './death.js'
@@ -43,7 +43,7 @@
   /** Adds what a service's instances cost. */
   spent (service: ServiceName, amount: number): void
   /** What was open at a node that died; a remark on what is counted elsewhere. */
-  died (account: DeathAccount): void
+  died (account: DeadHomeCounts): void
   /** Wall time of the running epoch's first moment. */
   since (): Milliseconds
   /** Counts of the running epoch. */
--- a/src/request/answer.ts
+++ b/src/request/answer.ts
@@ -1,49 +1,53 @@
 /**
- * The answer to one request as its home holds it: tokens by offset, then one final mark. Readers
- * attach at any offset and every reader sees the same continuous sequence.
+ * The answer to one request, held by the request's home: a sequence of tokens, followed by one final event.
+ *
+ * Readers may attach at any offset. All of them receive the same continuous sequence.
  */
 import type { Milliseconds } from '../clock.js'
 import type { Usage } from '../upstream/index.js'
 import type { ServingError } from '../verdict.js'
 import type { AnswerToken, FinishReason } from './types.js'
 
-/** Final mark of an answer. Until there is one, what has been read is a fragment. */
+/** Final event of an answer. An answer without one is incomplete. */
 export type AnswerEnd =
   | { kind: 'finished', finish: FinishReason, usage: Usage }
   | { kind: 'plain', response: PlainResponse }
   | { kind: 'failed', failure: ServingError }
-  /** The request continues at another node; the caller resumes there from its offset. */
+  /** The request continues at another node. The caller resumes there from the offset that it has reached. */
   | { kind: 'moved', retryAfter: Milliseconds }
 
-/** Answer of a plain service. */
+/** Response of a plain service. */
 export interface PlainResponse {
   readonly status: number
   readonly headers: readonly (readonly [string, string])[]
-  /** Base64 of the body's bytes. */
+  /** The bytes of the body, in Base64. */
   readonly body: string
 }
 
-/** What a reader receives. */
+/** What a reader receives: a token or the final event. */
 export type AnswerPart = { kind: 'token', token: AnswerToken } | AnswerEnd
 
-/** An answer being written and read. */
+/** An answer that is written and read at the same time. */
 export interface Answer {
-  /** Tokens present. */
+  /** Number of tokens so far. */
   offset (): number
   text (): string
   end (): AnswerEnd | undefined
   /**
-   * Adds the token at its offset. A token already present is dropped, so two attempts may overlap.
+   * Adds the token at its offset. A token that is already present is ignored, so two attempts may overlap.
    *
-   * @throws RangeError for a gap: the answer would be a fragment
+   * @throws RangeError if the token would leave a gap after the tokens so far
    */
   append (token: AnswerToken): void
-  /** Sets the final mark; the first one stays. */
+  /** Sets the final event. Later calls have no effect. */
   close (end: AnswerEnd): void
-  /** Parts from an offset on, ending with the final mark. Stops early when the signal aborts. */
+  /** Yields the tokens from an offset on, then the final event. Stops early when the signal aborts. */
   read (offset: number, signal: AbortSignal): AsyncIterable<AnswerPart>
-  /** Resolves when fewer than `ahead` tokens are unread by the fastest reader, or nobody reads. */
-  room (ahead: number, signal: AbortSignal): Promise<void>
+  /**
+   * Resolves when the fastest reader has fewer than `maxUnread` tokens left to read. Resolves also if there are no
+   * readers, if the answer has ended, or if the signal aborts.
+   */
+  waitForReaders (maxUnread: number, signal: AbortSignal): Promise<void>
 }
 
 interface Reader {
@@ -51,7 +55,9 @@
 }
 
 /**
- * @param tokens tokens already known, when a request is continued after a hand-over
+ * Creates an answer.
+ *
+ * @param tokens tokens that are already known, for a request that continues after a hand-over
  * @example
  * const answer = createAnswer()
  * answer.append({ offset: 0, text: 'Rinse ' })
@@ -60,18 +66,18 @@
   const texts = [...tokens]
   const readers = new Set<Reader>()
   let end: AnswerEnd | undefined
-  /** Readers that wait for tokens or the end. */
-  const content = createWaiters()
-  /** Writers that wait for readers to go on. */
-  const progress = createWaiters()
+  /** Readers that wait for tokens or the final event. */
+  const contentWaiters = createWaiters()
+  /** Writers that wait for readers to proceed. */
+  const progressWaiters = createWaiters()
 
   function unread (): number {
     if (readers.size === 0) return 0
     return texts.length - Math.max(...[...readers].map((reader) => reader.next))
   }
 
-  function mustWait (ahead: number): boolean {
-    return end === undefined && unread() >= ahead
+  function isTooFarAhead (maxUnread: number): boolean {
+    return end === undefined && unread() >= maxUnread
   }
 
   return {
@@ -82,12 +88,12 @@
       if (end !== undefined || token.offset < texts.length) return
       if (token.offset > texts.length) throw new RangeError(`answer has ${texts.length} tokens and cannot continue at ${token.offset}`)
       texts.push(token.text)
-      content.wake()
+      contentWaiters.wake()
     },
-    close: (mark) => {
-      end ??= mark
-      content.wake()
-      progress.wake()
+    close: (finalEvent) => {
+      end ??= finalEvent
+      contentWaiters.wake()
+      progressWaiters.wake()
     },
     read: async function * (offset, signal) {
       const reader = { next: offset }
@@ -102,23 +108,26 @@
             yield end
             return
           }
-          progress.wake()
-          if (!signal.aborted && reader.next >= texts.length && end === undefined) await content.wait(signal)
+          progressWaiters.wake()
+          if (!signal.aborted && reader.next >= texts.length && end === undefined) await contentWaiters.wait(signal)
         }
       } finally {
         readers.delete(reader)
-        progress.wake()
+        progressWaiters.wake()
       }
     },
-    room: async (ahead, signal) => {
-      while (mustWait(ahead) && !signal.aborted) await progress.wait(signal)
+    waitForReaders: async (maxUnread, signal) => {
+      while (isTooFarAhead(maxUnread) && !signal.aborted) await progressWaiters.wait(signal)
     }
   }
 }
 
 /**
- * Failure guarded against: with one list for both sides, a reader that has caught up wakes the other
- * waiting readers, they wake it, and the process does nothing else any more. Each side wakes the other only.
+ * Creates a list of waiting callers that are woken together.
+ *
+ * Failure guarded against: with one list for readers and writers, a reader that has caught up wakes the other waiting
+ * readers, which wake it in turn. The process would be busy with this for ever. With two lists, readers wake only
+ * writers and writers wake only readers. The final event wakes both.
  */
 function createWaiters () {
   const waiting = new Set<() => void>()
--- a/src/request/attempts.ts
+++ b/src/request/attempts.ts
@@ -1,51 +1,54 @@
 /**
- * Matches what upstreams send to the one answer of a request, by attempt and offset. Pieces may come late,
- * twice, out of order, from an abandoned attempt or from two attempts at once; the caller gets one whole
- * answer, whose tokens all stem from attempts that continued each other.
+ * Merges the events of a request's attempts into one answer.
+ *
+ * Events may arrive late, twice, out of order, from an abandoned attempt, or from two attempts at once. The caller
+ * receives one complete answer, in which each attempt continues where the previous one stopped.
  */
 import type { Usage } from '../upstream/index.js'
 import type { AnswerToken, FinishReason } from './types.js'
 
-/** What an attempt sends. */
+/** Event of an attempt. */
 export type AttemptEvent =
   | { kind: 'token', offset: number, text: string }
-  /** `tokens`: offset after the last token; undefined when the upstream does not tell it. */
+  /** `tokens` is the offset after the last token. Undefined if the upstream does not report it. */
   | { kind: 'finished', tokens?: number, finish: FinishReason, usage: Usage }
-  /** The attempt ended without its final mark. */
+  /** The attempt ended without a `finished` event. */
   | { kind: 'failed' }
 
-/** What to do next. */
+/** What the caller of the matcher has to do. */
 export type AttemptEffect =
   | { kind: 'append', token: AnswerToken }
-  /** The answer is whole. */
+  /** The answer is complete. */
   | { kind: 'finish', finish: FinishReason, usage: Usage }
-  /** Nothing of this attempt is wanted any more: cancel it and destroy its connection. */
+  /** The attempt is no longer needed: cancel it and destroy its connection. */
   | { kind: 'cancel', attempt: number }
-  /** No attempt is left and the answer is not whole. */
+  /** No attempt is left and the answer is incomplete. */
   | { kind: 'starved' }
 
 /** The attempts of one request. */
 export interface AttemptMatcher {
-  /** Registers an attempt that continues the answer as it stands now. */
+  /** Registers an attempt that continues the answer at the current offset. */
   begin (attempt: number): void
   handle (attempt: number, event: AttemptEvent): AttemptEffect[]
-  /** Tokens of the answer so far. */
+  /** Number of tokens in the answer so far. */
   offset (): number
 }
 
 interface OpenAttempt {
-  /** Offset at which it continues the answer. */
+  /** Offset at which the attempt continues the answer. */
   readonly base: number
-  /** Pieces that came before their turn, by offset. */
-  readonly early: Map<number, string>
+  /** Tokens that arrived before the tokens preceding them, by offset. */
+  readonly earlyTokens: Map<number, string>
   finished: Extract<AttemptEvent, { kind: 'finished' }> | undefined
 }
 
-/** Pieces kept that came before their turn; an attempt that leaves a wider gap has failed. */
-const MOST_EARLY = 256
+/** Maximum number of early tokens kept per attempt. An attempt that exceeds it is treated as failed. */
+const MAX_EARLY_TOKENS = 256
 
 /**
- * @param offset tokens that exist already, for a request that was taken over
+ * Creates the matcher of one request.
+ *
+ * @param offset number of tokens that already exist, for a request that was taken over
  * @example
  * const matcher = createAttemptMatcher(0)
  * matcher.begin(1)
@@ -54,22 +57,24 @@
 export function createAttemptMatcher (offset: number): AttemptMatcher {
   const open = new Map<number, OpenAttempt>()
   let length = offset
-  let winner: number | undefined
-  let whole = false
+  let selectedAttempt: number | undefined
+  let isComplete = false
 
   /**
-   * Failure guarded against: two attempts generate different words, and their pieces interleave into an
-   * answer that neither gave. The first attempt to continue the answer goes on alone; the others are
-   * cancelled, and so is one whose place in the answer was passed by another meanwhile.
+   * Selects the attempt that continues the answer and cancels the others.
+   *
+   * Failure guarded against: two attempts generate different texts, and their tokens interleave into an answer that
+   * neither of them gave. The first attempt that continues the answer is selected, and the others are cancelled. An
+   * attempt is also cancelled if the answer has passed its start offset through another attempt.
    */
-  function choose (attempt: number): AttemptEffect[] {
-    if (winner === attempt) return []
-    winner = attempt
+  function select (attempt: number): AttemptEffect[] {
+    if (selectedAttempt === attempt) return []
+    selectedAttempt = attempt
     return cancelOthers(attempt)
   }
 
   function mayContinue (attempt: number, state: OpenAttempt): boolean {
-    return winner === attempt || state.base === length
+    return selectedAttempt === attempt || state.base === length
   }
 
   function cancelOthers (attempt: number): AttemptEffect[] {
@@ -78,45 +83,47 @@
     return others.map((other) => ({ kind: 'cancel', attempt: other }))
   }
 
-  function drop (attempt: number): AttemptEffect[] {
+  function removeAttempt (attempt: number): AttemptEffect[] {
     open.delete(attempt)
-    if (winner === attempt) winner = undefined
-    return open.size === 0 && !whole ? [{ kind: 'starved' }] : []
+    if (selectedAttempt === attempt) selectedAttempt = undefined
+    return open.size === 0 && !isComplete ? [{ kind: 'starved' }] : []
   }
 
   function acceptToken (attempt: number, state: OpenAttempt, token: AnswerToken): AttemptEffect[] {
     if (token.offset < length) return []
     if (token.offset > length) {
-      state.early.set(token.offset, token.text)
-      return state.early.size > MOST_EARLY ? [{ kind: 'cancel', attempt }, ...drop(attempt)] : []
+      state.earlyTokens.set(token.offset, token.text)
+      return state.earlyTokens.size > MAX_EARLY_TOKENS ? [{ kind: 'cancel', attempt }, ...removeAttempt(attempt)] : []
     }
-    if (!mayContinue(attempt, state)) return [{ kind: 'cancel', attempt }, ...drop(attempt)]
-    const effects = choose(attempt)
-    for (let text: string | undefined = token.text; text !== undefined; text = take(state, length)) {
+    if (!mayContinue(attempt, state)) return [{ kind: 'cancel', attempt }, ...removeAttempt(attempt)]
+    const effects = select(attempt)
+    for (let text: string | undefined = token.text; text !== undefined; text = takeEarlyToken(state, length)) {
       effects.push({ kind: 'append', token: { offset: length, text } })
       length += 1
     }
-    return [...effects, ...finishIfWhole(attempt, state)]
+    return [...effects, ...finishIfComplete(attempt, state)]
   }
 
   /**
-   * Failure guarded against: the final mark overtakes pieces that are still under way, and a fragment passes
-   * as whole. The mark waits until every offset before it is there.
+   * Finishes the answer if the attempt's `finished` event and all tokens before it have arrived.
+   *
+   * Failure guarded against: the `finished` event overtakes tokens that are still in transit, and an incomplete
+   * answer is taken for complete. The answer therefore finishes only when all tokens before the end are present.
    */
-  function finishIfWhole (attempt: number, state: OpenAttempt): AttemptEffect[] {
-    const mark = state.finished
-    if (mark === undefined || state.early.size > 0 || (mark.tokens !== undefined && mark.tokens > length)) return []
-    if (!mayContinue(attempt, state)) return [{ kind: 'cancel', attempt }, ...drop(attempt)]
-    const effects = choose(attempt)
-    whole = true
+  function finishIfComplete (attempt: number, state: OpenAttempt): AttemptEffect[] {
+    const finishedEvent = state.finished
+    if (finishedEvent === undefined || state.earlyTokens.size > 0 || (finishedEvent.tokens !== undefined && finishedEvent.tokens > length)) return []
+    if (!mayContinue(attempt, state)) return [{ kind: 'cancel', attempt }, ...removeAttempt(attempt)]
+    const effects = select(attempt)
+    isComplete = true
     open.clear()
-    return [...effects, { kind: 'finish', finish: mark.finish, usage: mark.usage }]
+    return [...effects, { kind: 'finish', finish: finishedEvent.finish, usage: finishedEvent.usage }]
   }
 
   return {
     offset: () => length,
     begin: (attempt) => {
-      if (!whole) open.set(attempt, { base: length, early: new Map(), finished: undefined })
+      if (!isComplete) open.set(attempt, { base: length, earlyTokens: new Map(), finished: undefined })
     },
     handle: (attempt, event) => {
       const state = open.get(attempt)
@@ -125,15 +132,15 @@
         case 'token': return acceptToken(attempt, state, { offset: event.offset, text: event.text })
         case 'finished':
           state.finished ??= event
-          return finishIfWhole(attempt, state)
-        case 'failed': return drop(attempt)
+          return finishIfComplete(attempt, state)
+        case 'failed': return removeAttempt(attempt)
       }
     }
   }
 }
 
-function take (state: OpenAttempt, offset: number): string | undefined {
-  const text = state.early.get(offset)
-  state.early.delete(offset)
+function takeEarlyToken (state: OpenAttempt, offset: number): string | undefined {
+  const text = state.earlyTokens.get(offset)
+  state.earlyTokens.delete(offset)
   return text
 }
--- a/src/request/claim.ts
+++ b/src/request/claim.ts
@@ -1,7 +1,9 @@
 /**
- * Claims of bare idempotency keys. A key without a home is claimed in the key-value service before it is
- * dispatched: many claims a write, spread over a few keys of the service (shards). Of two nodes that
- * receive the same key exactly one owns it; the other is told the owner's request id and asks its home.
+ * Claims of idempotency keys that do not name a home.
+ *
+ * Such a key is claimed in the key-value store before its request is dispatched. The claims are spread over a few
+ * keys of the store, the shards, and one write contains many claims. If two nodes receive the same key, exactly one
+ * of them owns it. The other receives the owner's request id and asks that request's home.
  */
 import * as z from 'zod'
 import type { Incarnation, OrganisationName, RequestId } from '../identifiers.js'
@@ -9,13 +11,13 @@
 import type { RankedNode } from './hash.js'
 import { hashText, rankNodes } from './hash.js'
 
-/** One claimed key. */
+/** The claim of one idempotency key. */
 export const claimSchema = z.object({
-  /** See {@link claimKey}. */
+  /** Result of {@link claimKey}. */
   key: z.string().min(1),
-  /** The request that owns the key; its incarnation is whom to ask. */
+  /** The request that owns the key. The incarnation in this id is the node to ask. */
   id: requestIdSchema,
-  /** Tells a second send from a different body under the same key. */
+  /** Distinguishes a repeated request from a different request with the same key. */
   fingerprint: z.string().min(1)
 })
 export type Claim = z.infer<typeof claimSchema>
@@ -23,44 +25,51 @@
 /** Value of one shard, oldest claim first. */
 export const shardValueSchema = z.object({ claims: z.array(claimSchema) })
 
-/** A claim that somebody wants. */
+/** A claim to be added to a shard. */
 export interface WantedClaim extends Claim {
   /**
-   * A request that owns the key and is proven `not-run` at its home: its claim may be replaced, so that a
-   * caller who was refused can use its key again. Exactly one of several replacers wins.
+   * The request that owns the key, if its home has proven that it was `not-run`. Its claim may be replaced, so that a
+   * caller whose request was refused can use the key again. If several claims replace the same one, exactly one of
+   * them succeeds.
    */
   readonly replaces?: RequestId
 }
 
-/** What became of a wanted claim. */
+/** Result for a wanted claim. */
 export type ClaimResult =
-  /** The key belongs to the wanted id, which may be dispatched once. */
+  /** The key belongs to the wanted request, which may be dispatched once. */
   | { kind: 'won' }
-  /** The key belongs to another request; its home knows the answer, or it may have run. */
+  /**
+   * The key belongs to another request. Its home knows the answer. If the home cannot be asked, the request may have
+   * run.
+   */
   | { kind: 'owned', id: RequestId }
-  /** The key was used with another body. */
+  /** The key was used with a different body. */
   | { kind: 'conflict' }
-  /** The shard is full of claims that are too young to drop: refused, `not-run`. */
+  /** The shard is full of claims that are too recent to drop. The request is refused as `not-run`. */
   | { kind: 'full' }
 
-/** A shard with claims added. */
+/** A shard after the wanted claims were added. */
 export interface MergedShard {
-  /** Claims to write; undefined when nothing changes. */
+  /** Claims to write. Undefined if nothing changes. */
   readonly claims: readonly Claim[] | undefined
-  /** Results by position of the wanted claims. They hold once the write, if any, is known to have taken effect. */
+  /**
+   * Results in the order of the wanted claims. They are valid once the write, if there is one, is known to have
+   * succeeded.
+   */
   readonly results: readonly ClaimResult[]
 }
 
-/** Number of keys in the key-value service; more of them meet less often, fewer take more claims a write. */
+/** Number of shards. With more shards, fewer writes conflict. With fewer shards, a write contains more claims. */
 export const CLAIM_SHARDS = 16
 
-/** Largest value of a shard in bytes, under the service's bound of a megabyte. */
-export const LARGEST_SHARD = 900_000
+/** Maximum size of a shard's value in bytes. It is below the store's limit of one megabyte. */
+export const MAX_SHARD_BYTES = 900_000
 
 const CLAIM_PREFIX = 'hornbeamgap/claims/'
 
 /**
- * Name of a claim: keys of different organisations never meet.
+ * Key of a claim. It includes the organisation, so that equal keys of different organisations do not conflict.
  *
  * @param hash cryptographic hash of a text
  * @example
@@ -71,7 +80,7 @@
 }
 
 /**
- * Shard of a claim, from 0 on.
+ * Number of the shard that holds a claim, starting at 0.
  *
  * @example
  * shardKey(shardOf(claim.key))
@@ -80,16 +89,21 @@
   return hashText(key, 0) % shards
 }
 
-/** @example shardKey(3) // 'hornbeamgap/claims/3' */
+/**
+ * Key of a shard in the store.
+ *
+ * @example
+ * shardKey(3) // 'hornbeamgap/claims/3'
+ */
 export function shardKey (shard: number): string {
   return CLAIM_PREFIX + shard
 }
 
 /**
- * Node that writes a shard when all is well. Sending claims there lets one write take the claims of many
- * nodes; correctness does not depend on it, since any node may write any shard by compare-and-swap.
+ * Node that normally writes a shard. Claims are sent there so that one write contains the claims of many nodes.
+ * Correctness does not depend on it, because every node may write every shard by compare-and-swap.
  *
- * @returns undefined when no node is live
+ * @returns undefined if no node is live
  * @example
  * if (claimWriter(shard, nodes) !== own) forward(claim)
  */
@@ -100,21 +114,22 @@
 /**
  * Adds wanted claims to a shard and drops old ones.
  *
- * @param droppable keys of claims known to be older than the retention
+ * @param droppable keys of claims that are known to be older than the retention period
+ * @param maxBytes maximum size of the shard's value
  * @example
  * const { claims, results } = mergeClaims(current, wanted, droppable)
  */
-export function mergeClaims (current: readonly Claim[], wanted: readonly WantedClaim[], droppable: ReadonlySet<string>, largest: number = LARGEST_SHARD): MergedShard {
+export function mergeClaims (current: readonly Claim[], wanted: readonly WantedClaim[], droppable: ReadonlySet<string>, maxBytes: number = MAX_SHARD_BYTES): MergedShard {
   const claims = new Map(current.filter((claim) => !droppable.has(claim.key)).map((claim) => [claim.key, claim]))
   let size = sizeOf(claims.values())
   let changed = false
 
-  function place (claim: WantedClaim): ClaimResult {
+  function addClaim (claim: WantedClaim): ClaimResult {
     const owner = claims.get(claim.key)
     if (owner !== undefined && owner.id !== claim.replaces) return resultFor(owner, claim)
     const added = { key: claim.key, id: claim.id, fingerprint: claim.fingerprint }
     const growth = sizeOf([added]) - (owner === undefined ? 0 : sizeOf([owner]))
-    if (size + growth > largest) return { kind: 'full' }
+    if (size + growth > maxBytes) return { kind: 'full' }
     claims.delete(claim.key)
     claims.set(claim.key, added)
     size += growth
@@ -122,7 +137,7 @@
     return { kind: 'won' }
   }
 
-  const results = wanted.map(place)
+  const results = wanted.map(addClaim)
   return { claims: changed ? [...claims.values()] : undefined, results }
 }
 
@@ -132,7 +147,7 @@
   return { kind: 'owned', id: owner.id }
 }
 
-/** Length of the claims in JSON; they are plain ASCII. */
+/** Size of the claims as JSON in bytes. Claims contain only ASCII characters. */
 function sizeOf (claims: Iterable<Claim>): number {
   let size = 0
   for (const claim of claims) size += JSON.stringify(claim).length + 1
--- a/src/request/crash-guard.ts
+++ b/src/request/crash-guard.ts
@@ -1,97 +1,112 @@
 /**
- * Requests that crash the upstreams which run them. Every dispatch needs a permit of the node that owns
- * the request's fingerprint (organisation and body, whatever its id), so that at most two upstreams crash
- * for one fingerprint, however often, wherever and under however many ids it is sent.
+ * Limits the number of upstreams that a crashing request can crash.
  *
- * What is in flight at a crash becomes suspect. What had given no token is tried once more, apart from
- * everything else, so that the second crash names the culprit; what had given tokens goes on beside others
- * and is refused after a third crash. A culprit is refused everywhere; a whole answer clears an innocent.
+ * Every dispatch needs a permit from the node that owns the request's fingerprint, which does not depend on the
+ * request id. For one fingerprint, at most two upstreams crash before the first token, and at most three in total, no
+ * matter how often, through which nodes and under how many ids the request is sent.
+ *
+ * All requests in flight at a crash become suspects. A suspect that had produced no token is dispatched once more,
+ * isolated from all other requests, so that a second crash identifies it as the cause. A suspect that had produced
+ * tokens runs beside other requests and is quarantined after a third crash. A quarantined fingerprint is refused at
+ * all nodes. A complete answer clears a suspect.
  */
 import type { Milliseconds } from '../clock.js'
 import { HOUR, MINUTE } from '../clock.js'
 import type { Incarnation } from '../identifiers.js'
-import { addCrash, clearCrashes, crashName, createFingerprintRecord, silentCrashes, toEvidence, trimNames } from './crash-record.js'
+import { addCrash, clearCrashes, countCrashesBeforeFirstToken, crashName, createFingerprintRecord, evictOldestNames, toEvidence } from './crash-record.js'
 import type { FingerprintRecord } from './crash-record.js'
 import type { RankedNode } from './hash.js'
 import { rankNodes } from './hash.js'
 import type { Evidence, HeldPermit, PermitDecision, PermitEnd, PermitRequest } from './permit.js'
 
-/** Crashes and permits as one node knows them. Each node has one, and owns its share of fingerprints. */
+/** Crashes and permits known to one node. Every node has a guard and owns a share of the fingerprints. */
 export interface CrashGuard {
-  /** Owner: decides on a dispatch. Asking again under the same name gives no second permit. */
+  /** For the owner: decides on a dispatch. Asking again for the same permit grants no second one. */
   acquire (request: PermitRequest, now: Milliseconds): PermitDecision
-  /** Owner: ends a permit. @returns evidence to spread to all nodes, if there is news */
+  /**
+   * For the owner: ends a permit.
+   *
+   * @returns evidence for all other nodes, or undefined if nothing changed
+   */
   release (end: PermitEnd, now: Milliseconds): Evidence | undefined
   /**
-   * Owner: a holder has died. Its permits end without a verdict: the death of a node is no sign of a
-   * crash, and what it had in flight must be run again at once. A crash that it did not live to report
-   * is not counted, so each such death may cost one upstream more.
+   * For the owner: ends all permits of a node that has died. No crash is counted, because the death of a node does
+   * not indicate a crash of an upstream and its requests must be dispatched again at once. A crash that the node
+   * could not report any more is missed, so each death of a node may allow one more upstream to crash.
    */
-  holderGone (holder: Incarnation): void
-  /** Owner: holders of the permits that make others wait; worth a look whether they live. */
-  holders (fingerprint: string): Incarnation[]
-  /** Any node: takes in what another node knows. */
+  releaseHolder (holder: Incarnation): void
+  /** For the owner: holders of the permits that block other dispatches. The caller checks whether they are alive. */
+  blockingHolders (fingerprint: string): Incarnation[]
+  /** For any node: merges evidence from other nodes. */
   observe (evidence: readonly Evidence[], now: Milliseconds): void
-  /** Any node: what is known of a fingerprint, to go with a {@link PermitRequest}. */
+  /** For any node: what is known of a fingerprint, to be sent with a {@link PermitRequest}. */
   evidence (fingerprint: string): Evidence
-  /** Any node: known to be refused, so that its owner need not be asked. */
+  /** For any node: whether the fingerprint is known to be quarantined, in which case its owner need not be asked. */
   isQuarantined (fingerprint: string, now: Milliseconds): boolean
-  /** Owner that leaves: permits in force, for the next owners. */
+  /** For an owner that leaves: the permits in force, to be sent to the next owners. */
   permits (): HeldPermit[]
-  /** Next owner: takes permits over. */
+  /** For the next owner: adds permits of an owner that leaves. */
   adopt (permits: readonly HeldPermit[]): void
   size (): number
 }
 
-/** Bounds of a guard. */
+/** Limits of a guard. */
 export interface CrashGuardOptions {
-  /** How long a culprit stays refused after its second crash. */
-  readonly quarantine?: Milliseconds
-  /** How long a permit may keep others waiting before it is taken for lost; longer than any answer takes. */
-  readonly permitTime?: Milliseconds
-  /** Most fingerprints without permits in force; beyond it the ones longest untouched are forgotten, culprits last. */
-  readonly mostRecords?: number
+  /** Time for which a fingerprint stays quarantined. */
+  readonly quarantineDuration?: Milliseconds
+  /**
+   * Time for which a permit may block other dispatches before it counts as lost. It must be longer than any answer
+   * takes.
+   */
+  readonly permitTimeout?: Milliseconds
+  /**
+   * Maximum number of fingerprints without permits in force. Beyond it the least recently used ones are evicted, and
+   * quarantined ones only if there are no others.
+   */
+  readonly maxRecords?: number
 }
 
-/** Upstreams that one fingerprint may cost. */
-export const MOST_CRASHES = 2
+/** Number of crashes before the first token at which a fingerprint is quarantined. */
+export const MAX_CRASHES_BEFORE_FIRST_TOKEN = 2
 
-/** Upstreams that one fingerprint may cost when tokens came before each crash. */
-export const MOST_LATE_CRASHES = 3
+/** Number of crashes, before or after the first token, at which a fingerprint is quarantined. */
+export const MAX_TOTAL_CRASHES = 3
 
-const QUARANTINE: Milliseconds = 24 * HOUR
-const PERMIT_TIME: Milliseconds = 10 * MINUTE
-const MOST_RECORDS = 10_000
+const QUARANTINE_DURATION: Milliseconds = 24 * HOUR
+const PERMIT_TIMEOUT: Milliseconds = 10 * MINUTE
+const MAX_RECORDS = 10_000
 
 /**
+ * Creates the guard of one node.
+ *
  * @example
  * const guard = createCrashGuard()
  * const decision = guard.acquire({ permit: permitName(id, 1), holder, evidence: guard.evidence(fingerprint) }, clock.now())
  */
 export function createCrashGuard (options: CrashGuardOptions = {}): CrashGuard {
-  const { quarantine = QUARANTINE, permitTime = PERMIT_TIME, mostRecords = MOST_RECORDS } = options
+  const { quarantineDuration = QUARANTINE_DURATION, permitTimeout = PERMIT_TIMEOUT, maxRecords = MAX_RECORDS } = options
   const records = new Map<string, FingerprintRecord>()
 
-  /** The record, made the most recently touched one. */
+  /** Returns the record of a fingerprint and marks it as the most recently used one. */
   function touch (fingerprint: string): FingerprintRecord {
     const record = records.get(fingerprint) ?? createFingerprintRecord()
     records.delete(fingerprint)
     records.set(fingerprint, record)
-    if (records.size > mostRecords) forgetOldest(fingerprint)
+    if (records.size > maxRecords) evictOldest(fingerprint)
     return record
   }
 
-  function forgetOldest (except: string): void {
-    let culprit: string | undefined
+  function evictOldest (except: string): void {
+    let oldestQuarantined: string | undefined
     for (const [fingerprint, record] of records) {
       if (fingerprint === except || record.permits.size > 0) continue
       if (record.quarantinedAt === undefined) {
         records.delete(fingerprint)
         return
       }
-      culprit ??= fingerprint
+      oldestQuarantined ??= fingerprint
     }
-    if (culprit !== undefined) records.delete(culprit)
+    if (oldestQuarantined !== undefined) records.delete(oldestQuarantined)
   }
 
   function merge (evidence: Evidence, now: Milliseconds): void {
@@ -103,27 +118,29 @@
   }
 
   /**
-   * Failure guarded against: the message that ends a permit never reaches its owner, and requests with that
-   * body wait for ever. Such a permit ends after its time; as nobody knows how, it counts as a crash until
-   * its holder, or the next dispatch, reports an answer.
+   * Removes permits that have blocked other dispatches for too long.
+   *
+   * Failure guarded against: the message that ends a permit never reaches the owner, and requests with this
+   * fingerprint wait for ever. Such a permit therefore expires. Its end is unknown, so it counts as a crash until its
+   * holder or the next dispatch reports an answer.
    */
-  function dropLost (record: FingerprintRecord, now: Milliseconds): void {
+  function expireLostPermits (record: FingerprintRecord, now: Milliseconds): void {
     if (record.proven) return
     for (const [name, permit] of record.permits) {
       permit.blockedSince ??= now
-      if (now - permit.blockedSince < permitTime) continue
+      if (now - permit.blockedSince < permitTimeout) continue
       addCrash(record, name)
       record.permits.delete(name)
     }
   }
 
-  function judge (record: FingerprintRecord, now: Milliseconds): void {
-    if (silentCrashes(record) >= MOST_CRASHES || record.crashes.size >= MOST_LATE_CRASHES) record.quarantinedAt ??= now
+  function quarantineIfNeeded (record: FingerprintRecord, now: Milliseconds): void {
+    if (countCrashesBeforeFirstToken(record) >= MAX_CRASHES_BEFORE_FIRST_TOKEN || record.crashes.size >= MAX_TOTAL_CRASHES) record.quarantinedAt ??= now
   }
 
-  function quarantined (record: FingerprintRecord, now: Milliseconds): boolean {
+  function isInQuarantine (record: FingerprintRecord, now: Milliseconds): boolean {
     if (record.quarantinedAt === undefined) return false
-    if (now - record.quarantinedAt < quarantine) return true
+    if (now - record.quarantinedAt < quarantineDuration) return true
     clearCrashes(record, [...record.crashes])
     record.quarantinedAt = undefined
     return false
@@ -133,15 +150,15 @@
     acquire: (request, now) => {
       merge(request.evidence, now)
       const record = touch(request.evidence.fingerprint)
-      if (!record.permits.has(request.permit)) dropLost(record, now)
-      judge(record, now)
-      if (quarantined(record, now)) return { kind: 'quarantined' }
-      const granted = { kind: 'granted' as const, apart: silentCrashes(record) > 0, suspectedFor: [...record.crashes] }
+      if (!record.permits.has(request.permit)) expireLostPermits(record, now)
+      quarantineIfNeeded(record, now)
+      if (isInQuarantine(record, now)) return { kind: 'quarantined' }
+      const granted = { kind: 'granted' as const, apart: countCrashesBeforeFirstToken(record) > 0, suspectedFor: [...record.crashes] }
       if (record.permits.has(request.permit)) return granted
       /**
-       * Failure guarded against: the same body is sent at once through many nodes, each of which takes it for
-       * harmless, and as many upstreams crash. Until one dispatch has been answered only one is in flight, so
-       * its crash is known before the next begins.
+       * Failure guarded against: the same request is sent through many nodes at once, each of which considers it
+       * harmless, and as many upstreams crash. Until one dispatch has been answered only one is in flight, so its
+       * crash is known before the next one begins.
        */
       if (!record.proven && record.permits.size > 0) return { kind: 'wait' }
       if (record.ended.has(request.permit)) return { kind: 'wait' }
@@ -152,27 +169,27 @@
       const record = touch(end.fingerprint)
       const held = record.permits.has(end.permit)
       if (end.how === 'crashed') addCrash(record, crashName(end.permit, end.progressed === true))
-      const news = end.how === 'answered' && clearCrashes(record, [...end.suspectedFor ?? [], crashName(end.permit, false), crashName(end.permit, true)])
+      const anyCleared = end.how === 'answered' && clearCrashes(record, [...end.suspectedFor ?? [], crashName(end.permit, false), crashName(end.permit, true)])
       if (end.how === 'answered' && held && record.crashes.size === 0) record.proven = true
       record.permits.delete(end.permit)
       record.ended.add(end.permit)
-      trimNames(record.ended)
-      judge(record, now)
-      return news || end.how === 'crashed' ? toEvidence(end.fingerprint, record) : undefined
+      evictOldestNames(record.ended)
+      quarantineIfNeeded(record, now)
+      return anyCleared || end.how === 'crashed' ? toEvidence(end.fingerprint, record) : undefined
     },
-    holderGone: (holder) => {
+    releaseHolder: (holder) => {
       for (const record of records.values()) {
         for (const [name, permit] of record.permits) {
           if (permit.holder === holder) record.permits.delete(name)
         }
       }
     },
-    holders: (fingerprint) => {
+    blockingHolders: (fingerprint) => {
       const record = records.get(fingerprint)
       return record === undefined || record.proven ? [] : [...new Set([...record.permits.values()].map((permit) => permit.holder))]
     },
     observe: (evidence, now) => {
-      for (const one of evidence) merge(one, now)
+      for (const item of evidence) merge(item, now)
     },
     evidence: (fingerprint) => {
       const record = records.get(fingerprint)
@@ -180,7 +197,7 @@
     },
     isQuarantined: (fingerprint, now) => {
       const record = records.get(fingerprint)
-      return record !== undefined && quarantined(record, now)
+      return record !== undefined && isInQuarantine(record, now)
     },
     permits: () => [...records].flatMap(([fingerprint, record]) => [...record.permits].map(([permit, { holder, proven }]) => ({ permit, fingerprint, holder, proven }))),
     adopt: (permits) => {
@@ -191,9 +208,9 @@
 }
 
 /**
- * Node that owns a fingerprint: whom to ask for permits.
+ * Node that owns a fingerprint and decides on its permits.
  *
- * @returns undefined when no node is live
+ * @returns undefined if no node is live
  * @example
  * const owner = fingerprintOwner(request.fingerprint, membership.nodes())
  */
--- a/src/request/failure.ts
+++ b/src/request/failure.ts
@@ -1,15 +1,16 @@
-/** Failures that callers are told of when their request is not run here, and what an outcome proves. */
+/** Errors for callers whose request is not run by this node, and the verdict that follows from an outcome. */
 import type { Milliseconds } from '../clock.js'
 import type { Incarnation } from '../identifiers.js'
 import { ServingError } from '../verdict.js'
 import type { Verdict } from '../verdict.js'
-import type { Ended, SubmissionDecision } from './home.js'
+import type { EndedRequest, SubmissionDecision } from './home.js'
 import type { Outcome } from './types.js'
 
 /**
- * Failure that tells a caller about a decision which neither runs nor attaches.
+ * Error for a decision that neither runs the request nor attaches to it.
  *
- * @param decision not `run`, `attach` or `ask-home`
+ * @param decision any decision except `run`, `attach` and `ask-home`
+ * @param retryAfter milliseconds after which the caller may send a new request, if the request was not run
  * @example
  * throw submissionFailure(decision, retryAfter)
  */
@@ -24,22 +25,22 @@
 }
 
 /**
- * Failure for an id whose home, and every heir of it that could be asked, is gone or cut off.
+ * Error for a request whose home is unreachable, together with all successors of the home that could be asked.
  *
  * @example
- * if (reply === undefined) throw homeGoneFailure(decision.incarnation)
+ * if (reply === undefined) throw homeUnreachableFailure(decision.incarnation)
  */
-export function homeGoneFailure (incarnation: Incarnation): ServingError {
+export function homeUnreachableFailure (incarnation: Incarnation): ServingError {
   return new ServingError(`the node ${incarnation} that took this request cannot be asked`, { code: 'outcome-unknown', verdict: 'may-have-run' })
 }
 
 /**
- * Verdict that an outcome proves.
+ * Verdict that follows from an outcome.
  *
  * @example
- * verdictOf({ kind: 'refused', code: 'overloaded' }) // 'not-run'
+ * verdictForOutcome({ kind: 'refused', code: 'overloaded' }) // 'not-run'
  */
-export function verdictOf (outcome: Outcome): Verdict {
+export function verdictForOutcome (outcome: Outcome): Verdict {
   switch (outcome.kind) {
     case 'served': return 'ran'
     case 'refused': return 'not-run'
@@ -48,7 +49,7 @@
   }
 }
 
-function endedFailure (ended: Ended, retryAfter: Milliseconds): ServingError {
+function endedFailure (ended: EndedRequest, retryAfter: Milliseconds): ServingError {
   const message = describeOutcome(ended.outcome)
   const code = ended.outcome.kind === 'refused' ? 'overloaded' : 'outcome-unknown'
   return new ServingError(message, { code, verdict: ended.verdict, ...(ended.verdict === 'not-run' ? { retryAfter } : {}) })
--- a/src/request/hand-over.ts
+++ b/src/request/hand-over.ts
@@ -1,69 +1,78 @@
 /**
- * Decisions of a hand-over: what a leaving home does with each open request, how the requests are divided
- * into messages, and how the receiver goes on with each. Offsets stay continuous: a receiver goes on at the
- * number of tokens that it was given, never at what an upstream or a message claims besides.
+ * Decisions of a hand-over: what a leaving home does with each open request, how the requests are split into
+ * messages, and how the receiver continues each of them.
+ *
+ * Offsets stay continuous. A receiver continues at the number of tokens that it has received with the request,
+ * regardless of the offset that the message or the upstream states.
  */
 import type { UpstreamName } from '../identifiers.js'
 import type { Request, StreamPosition } from './types.js'
 
-/** An open request as its home knows it. */
+/** An open request at its home. */
 export interface OpenRequest {
   readonly request: Pick<Request, 'idempotent' | 'work'>
-  /** Something was sent to an upstream. */
+  /** Whether an attempt was sent to an upstream. */
   readonly dispatched: boolean
-  /** The upstream's name for the stream, when it has told one. */
+  /** The upstream's identifier of the stream. Undefined if the upstream has not reported it. */
   readonly handle: string | undefined
 }
 
 /** What a leaving home does with an open request. */
-export type LeavingDecision =
-  /** The successor can go on with it at any moment. */
+export type HandOverDecision =
+  /** The successor can continue the request at any time. */
   | 'move'
-  /** Only this node can learn its outcome: wait for it, and at the deadline tell the successor that it may have run. */
+  /**
+   * Only this node can learn the outcome. It waits for it, and at the deadline it notifies the successor that the
+   * request may have run.
+   */
   | 'wait'
 
-/** A request on its way to a successor. */
-export interface HandedRequest {
+/** An open request that is being handed over to a successor. */
+export interface HandedOverRequest {
   readonly request: Pick<Request, 'idempotent' | 'work'>
   readonly dispatched: boolean
   readonly tokens: readonly string[]
   readonly position: StreamPosition | undefined
 }
 
-/** How a receiver goes on. */
+/** How the receiver continues a request. */
 export type Continuation =
-  /** It was never sent to an upstream. */
+  /** Dispatch the request, which was never sent to an upstream. */
   | { kind: 'run' }
-  /** Attach to the stream; `otherwise` when it is gone. */
+  /** Attach to the stream. `otherwise` says what to do if the stream no longer exists. */
   | { kind: 'attach', upstream: UpstreamName, handle: string, offset: number, otherwise: 'restart' | 'give-up' }
-  /** Run again from the prompt and the tokens so far. */
+  /** Dispatch the request again, with the prompt and the tokens so far. */
   | { kind: 'restart', offset: number }
-  /** It may have run and must not run twice. */
+  /** The request may have run and must not run twice. */
   | { kind: 'give-up' }
 
-/** Bounds of one message. */
-export interface MessageBounds {
+/** Limits of one message. */
+export interface MessageLimits {
   readonly bytes: number
   readonly items: number
 }
 
 /**
- * Failure guarded against: a plain call, or a stream that has not told its name yet, may be running, and a
- * successor could only run it again. Where that would double it, the home waits.
+ * Decides what a leaving home does with an open request.
+ *
+ * Failure guarded against: a call of a plain service, or a stream whose identifier is not known yet, may be running,
+ * and a successor could only run it again. If that could execute the request twice, the home waits for the outcome.
  *
  * @example
- * decideLeaving({ request: booking, dispatched: true, handle: undefined }) // 'wait'
+ * decideHandOver({ request: booking, dispatched: true, handle: undefined }) // 'wait'
  */
-export function decideLeaving (open: OpenRequest): LeavingDecision {
+export function decideHandOver (open: OpenRequest): HandOverDecision {
   if (!open.dispatched || open.handle !== undefined) return 'move'
   return open.request.idempotent && open.request.work.kind === 'model' ? 'move' : 'wait'
 }
 
 /**
+ * Decides how the receiver of a hand-over continues a request.
+ *
  * @example
  * decideContinuation({ request, dispatched: true, tokens: [], position: undefined }).kind // 'give-up' for a booking
  */
-export function decideContinuation (handed: HandedRequest): Continuation {
+export function decideContinuation (handed: HandedOverRequest): Continuation {
   const { request, position, tokens } = handed
   if (!handed.dispatched) return { kind: 'run' }
   if (position !== undefined) {
@@ -74,16 +83,16 @@
 }
 
 /**
- * Divides items into messages, in their order.
+ * Splits items into messages and keeps their order.
  *
- * Failure guarded against: a few large prompts in one message exceed what the receiver accepts, and all of
- * its requests are lost with it. An item larger than the bound goes alone.
+ * Failure guarded against: a message with a few large prompts exceeds the size that the receiver accepts, and all
+ * requests in it are lost. An item that is larger than the limit is sent in a message of its own.
  *
- * @param sizeOf bytes of an item on the wire
+ * @param sizeOf size of an item on the wire in bytes
  * @example
- * for (const message of divide(handed, (item) => Buffer.byteLength(JSON.stringify(item)), { bytes: 4_194_304, items: 64 })) await send(message)
+ * for (const message of splitIntoMessages(handed, (item) => Buffer.byteLength(JSON.stringify(item)), { bytes: 4_194_304, items: 64 })) await send(message)
  */
-export function divide<Item> (items: readonly Item[], sizeOf: (item: Item) => number, bounds: MessageBounds): Item[][] {
+export function splitIntoMessages<Item> (items: readonly Item[], sizeOf: (item: Item) => number, bounds: MessageLimits): Item[][] {
   const messages: Item[][] = []
   let size = 0
   for (const item of items) {
--- a/src/request/hash.ts
+++ b/src/request/hash.ts
@@ -1,12 +1,12 @@
-/** Seeded hashing of short texts, and the rankings of nodes that follow from it. Not cryptographic. */
+/** Seeded, non-cryptographic hash of short texts, and the rankings of nodes that are based on it. */
 import type { FailureDomain, Incarnation } from '../identifiers.js'
 import { rank, score } from '../membership/index.js'
 
-/** A node as far as rankings need it. */
+/** The properties of a node that rankings use. */
 export interface RankedNode {
   readonly incarnation: Incarnation
   readonly failureDomain: FailureDomain
-  /** A leaving node is never chosen to take anything. */
+  /** Whether the node is leaving. A leaving node is never selected as owner or successor. */
   readonly leaving: boolean
 }
 
@@ -22,8 +22,8 @@
 }
 
 /**
- * Nodes in the order in which they are responsible for a subject (rendezvous hashing): all nodes with
- * the same view agree, and a node that leaves moves only what it was responsible for.
+ * Ranks nodes by their responsibility for a subject (rendezvous hashing). All nodes with the same view of the fleet
+ * compute the same ranking. When a node leaves, only the subjects that it was responsible for change their owner.
  *
  * @param subject an incarnation, a fingerprint or a shard
  * @example
@@ -34,17 +34,19 @@
 }
 
 /**
- * Successors for a home's open requests, best first: the ranking of the home's incarnation without
- * itself and without leaving nodes, other failure domains before its own. Its first element is also the
- * home's buddy. Whoever looks for the heir of a home that has gone asks the nodes of
- * {@link rankNodes} of that incarnation in turn.
+ * Ranks the successors for a home's open requests, best first.
+ *
+ * The order is that of {@link rankNodes} for the home's incarnation, without the home itself and without leaving
+ * nodes. Nodes in other failure domains come before those in the home's own. The first successor is also the home's
+ * buddy. To find the successor that took over from a home that is gone, ask the nodes in the order of {@link
+ * rankNodes} for its incarnation.
  *
  * @example
  * rankSuccessors(own, nodes)[0]?.incarnation
  */
 export function rankSuccessors<Node extends RankedNode> (home: RankedNode, nodes: readonly Node[]): Node[] {
   const candidates = rankNodes(home.incarnation, nodes).filter((node) => !node.leaving && node.incarnation !== home.incarnation)
-  const elsewhere = candidates.filter((node) => node.failureDomain !== home.failureDomain)
-  const beside = candidates.filter((node) => node.failureDomain === home.failureDomain)
-  return [...elsewhere, ...beside]
+  const inOtherDomains = candidates.filter((node) => node.failureDomain !== home.failureDomain)
+  const inSameDomain = candidates.filter((node) => node.failureDomain === home.failureDomain)
+  return [...inOtherDomains, ...inSameDomain]
 }
--- a/src/request/home.ts
+++ b/src/request/home.ts
@@ -1,9 +1,10 @@
 /**
- * The home table of a node: which request ids it may dispatch, and what became of them.
+ * Home table of a node: the request ids that the node may dispatch, and the outcomes of these requests.
  *
- * The incarnation in an id names its home, the only process that may dispatch it. An id is dispatched
- * only when the home can prove that it is new: it is neither in the table nor among the forgotten. The
- * home gives its table away once; from the send on it counts itself without the ids it sent.
+ * The incarnation in a request id names its home, the only process that may dispatch the request. The home dispatches
+ * a request only if it can prove that the id is new, which means that the id is neither in the table nor in the
+ * filter of forgotten ids. The table is handed over once. The home no longer dispatches the ids that it has assigned
+ * to a successor.
  */
 import * as z from 'zod'
 import type { Milliseconds } from '../clock.js'
@@ -14,97 +15,118 @@
 import { outcomeSchema } from './types.js'
 import type { Request } from './types.js'
 
-/** What identifies a send of a request. */
+/** Identifies a submission of a request. */
 export type Submission = Pick<Request, 'id' | 'organisation' | 'fingerprint'>
 
-/** How a request ended, as it is remembered after its answer is gone. */
-export const endedSchema = z.object({ outcome: outcomeSchema, verdict: z.enum(['not-run', 'may-have-run', 'ran']) })
-export type Ended = z.infer<typeof endedSchema>
+/** How a request ended. Remembered for longer than its answer. */
+export const endedRequestSchema = z.object({ outcome: outcomeSchema, verdict: z.enum(['not-run', 'may-have-run', 'ran']) })
+export type EndedRequest = z.infer<typeof endedRequestSchema>
 
-/** One id of a table on its way to a successor. */
+/** Record of one id that is handed over to a successor. */
 export const homeRecordSchema = z.object({
   id: requestIdSchema,
   organisation: organisationNameSchema,
   fingerprint: z.string().min(1),
-  /** Absent while the request is open. */
-  ended: endedSchema.optional()
+  /** Missing while the request is open. */
+  ended: endedRequestSchema.optional()
 })
 export type HomeRecord = z.infer<typeof homeRecordSchema>
 
-/** What to do with a send of an id. */
+/** What to do with a submission. */
 export type SubmissionDecision =
-  /** New here: the id is recorded as open and this node runs it. */
+  /** The id is new. It is recorded as open, and this node runs the request. */
   | { kind: 'run' }
-  /** Known, with its answer: open, or ended a short while ago. */
+  /** The request is open or ended recently, and its answer is available. */
   | { kind: 'attach' }
-  /** Known, ended, and its answer is no longer kept. */
-  | { kind: 'ended', ended: Ended }
-  /** Another incarnation decides. When it cannot be asked, see `homeGoneFailure`. */
+  /** The request has ended, and its answer is no longer available. */
+  | { kind: 'ended', ended: EndedRequest }
+  /** Another incarnation decides. If it cannot be asked, see `homeUnreachableFailure`. */
   | { kind: 'ask-home', incarnation: Incarnation }
-  /** The id was used for another body. */
+  /** The id was used with a different body. */
   | { kind: 'conflict' }
   /** The id belongs to another organisation. */
   | { kind: 'not-visible' }
-  /** Not provably new, and nothing is known of it: `may-have-run`, never dispatched. */
+  /**
+   * The id is not provably new and nothing is known of the request. It counts as `may-have-run` and is never
+   * dispatched.
+   */
   | { kind: 'forgotten' }
-  /** Provably new, but this home takes nothing new: `not-run`, and the id stays refused. */
+  /**
+   * The id is provably new, but this home accepts no new requests. The request is refused as `not-run`, and stays
+   * refused.
+   */
   | { kind: 'stopping' }
 
-/** The ids of one process. */
+/** The request ids of one process. */
 export interface HomeTable {
-  /** Decides on a send; records the id when the decision is `run` or `stopping`. */
+  /** Decides on a submission. Records the id if the decision is `run` or `stopping`. */
   submit (submission: Submission, now: Milliseconds): SubmissionDecision
-  /** Decides on a lookup by id; never records anything. */
+  /** Decides on a lookup by id. Records nothing. */
   find (organisation: OrganisationName, id: RequestId): SubmissionDecision
-  /** Whether this node may dispatch the id now. To be asked right before each attempt. */
+  /** Whether this node may dispatch the request now. Must be checked immediately before each attempt. */
   mayDispatch (id: RequestId): boolean
-  /** Records the end of an open id; the first end stays. Refusals are ends, too: such an id is never run later. */
-  end (id: RequestId, ended: Ended, now: Milliseconds): void
-  /** Forgets what has passed its time. @returns ids whose answers may be dropped now */
+  /**
+   * Records how an open request ended. Only the first call has an effect. A refusal is recorded as well, so a refused
+   * request is never run later.
+   */
+  end (id: RequestId, ended: EndedRequest, now: Milliseconds): void
+  /**
+   * Forgets answers and outcomes that are older than their retention periods.
+   *
+   * @returns the ids whose answers may be dropped
+   */
   expire (now: Milliseconds): RequestId[]
-  /** Takes nothing new from now on; what is open goes on. */
+  /** Accepts no new requests from now on. Open requests continue. */
   close (): void
-  /** Closes the home and takes out its table. @returns undefined from the second call on */
-  giveAway (): HomeRecord[] | undefined
   /**
-   * To be called right before a message with these ids is written.
+   * Closes the home and returns the records to hand over.
    *
-   * @returns the ids that may be in that message: each id is sent once in the life of this process
+   * @returns undefined from the second call on
+   */
+  beginHandOver (): HomeRecord[] | undefined
+  /**
+   * Assigns ids to a successor. Must be called immediately before the message with these ids is written.
+   *
+   * @returns the ids that the message may contain. Each id is returned only once during the lifetime of this process.
    */
   assign (ids: readonly RequestId[], successor: Incarnation): RequestId[]
-  /** Takes {@link assign} back. Only for a message of which no byte was written (verdict `not-run`). */
-  unsent (ids: readonly RequestId[]): void
-  /** Becomes the heir for exactly these ids. @returns the ids that are new here */
-  inherit (from: Incarnation, records: readonly HomeRecord[], now: Milliseconds): RequestId[]
-  /** Sizes, and the share of new ids that would be answered `may-have-run` by mistake. */
+  /** Reverts {@link assign}. Allowed only for a message of which no byte was written (verdict `not-run`). */
+  unassign (ids: readonly RequestId[]): void
+  /**
+   * Takes over exactly these ids from another home.
+   *
+   * @returns the ids that were not known here
+   */
+  takeOver (from: Incarnation, records: readonly HomeRecord[], now: Milliseconds): RequestId[]
+  /** Sizes of the table, and the probability that a new id is mistaken for a forgotten one. */
   statistics (): HomeStatistics
 }
 
-/** Sizes of a table. */
+/** Sizes of a home table. */
 export interface HomeStatistics {
   readonly open: number
   readonly ended: number
-  readonly falsePositives: number
+  readonly falsePositiveRate: number
 }
 
-/** Bounds of a table. */
+/** Options of a home table. */
 export interface HomeOptions {
   readonly own: Incarnation
-  /** Secret seed of the forgotten ids. */
+  /** Secret seed of the filter of forgotten ids. */
   readonly seed: number
-  /** How long an ended answer can still be read. */
+  /** Time for which the answer of an ended request can be read. */
   readonly answerRetention?: Milliseconds
-  /** How long an outcome is remembered; longer than answers. */
+  /** Time for which an outcome is remembered. Must be longer than the retention of answers. */
   readonly outcomeRetention?: Milliseconds
-  /** Most ended ids remembered; beyond it the oldest are forgotten early. */
-  readonly mostEnded?: number
-  /** Bits of the filter of forgotten ids. */
-  readonly forgottenBits?: number
+  /** Maximum number of ended requests remembered. Beyond it the oldest are forgotten early. */
+  readonly maxEnded?: number
+  /** Size of the filter of forgotten ids in bits. */
+  readonly forgottenFilterBits?: number
 }
 
 interface Entry {
   readonly record: Submission
-  ended: Ended | undefined
+  ended: EndedRequest | undefined
   endedAt: Milliseconds
   answerKept: boolean
   successor: Incarnation | undefined
@@ -112,27 +134,32 @@
 
 const ANSWER_RETENTION: Milliseconds = 2 * MINUTE
 const OUTCOME_RETENTION: Milliseconds = 30 * MINUTE
-const MOST_ENDED = 20_000
+const MAX_ENDED = 20_000
 
-/** 2 MB: 350,000 ids, a day's share of one node at the target size, leave fewer than one mistake in a million. */
-const FORGOTTEN_BITS = 2 ** 24
-const FORGOTTEN_HASHES = 7
+/**
+ * Two megabytes. After 350,000 ids, the daily number per node at the target size, fewer than one in a million new ids
+ * is mistaken for a forgotten one.
+ */
+const FORGOTTEN_FILTER_BITS = 2 ** 24
+const FORGOTTEN_FILTER_HASHES = 7
 
 /**
+ * Creates the home table of a process.
+ *
  * @example
  * const home = createHomeTable({ own: incarnation, seed: random.integer(2 ** 30) })
  * const decision = home.submit(request, clock.now())
  */
 export function createHomeTable (options: HomeOptions): HomeTable {
-  const { own, answerRetention = ANSWER_RETENTION, outcomeRetention = OUTCOME_RETENTION, mostEnded = MOST_ENDED } = options
+  const { own, answerRetention = ANSWER_RETENTION, outcomeRetention = OUTCOME_RETENTION, maxEnded = MAX_ENDED } = options
   const entries = new Map<RequestId, Entry>()
-  /** Ended ids, oldest end first. */
+  /** Ended requests, in the order of their ends. */
   const ended = new Map<RequestId, Entry>()
-  const answers = new Map<RequestId, Entry>()
-  const forgotten = createSeenFilter({ bits: options.forgottenBits ?? FORGOTTEN_BITS, hashes: FORGOTTEN_HASHES, seed: options.seed })
-  const inherited = new Set<Incarnation>()
+  const keptAnswers = new Map<RequestId, Entry>()
+  const forgotten = createSeenFilter({ bits: options.forgottenFilterBits ?? FORGOTTEN_FILTER_BITS, hashes: FORGOTTEN_FILTER_HASHES, seed: options.seed })
+  const predecessors = new Set<Incarnation>()
   let closed = false
-  let givenAway = false
+  let handOverBegun = false
 
   function decideKnown (entry: Entry, organisation: OrganisationName, fingerprint: string): SubmissionDecision {
     if (entry.record.organisation !== organisation) return { kind: 'not-visible' }
@@ -143,13 +170,15 @@
   }
 
   /**
-   * Failure guarded against: a home that died is asked through another node, which takes the id for a
-   * new one and runs the booking twice. An id of a foreign incarnation is never recorded as new here;
-   * an heir that does not hold it says that it may have run.
+   * Decides on an id that is not in the table.
+   *
+   * Failure guarded against: the home of a request has died, the caller repeats the request at another node, and that
+   * node takes the id for a new one and runs a booking twice. An id of another incarnation is therefore never
+   * recorded as new here. A successor that did not receive the id answers that the request may have run.
    */
   function decideUnknown (id: RequestId): SubmissionDecision {
     const home = homeOf(id)
-    if (home !== own) return inherited.has(home) ? { kind: 'forgotten' } : { kind: 'ask-home', incarnation: home }
+    if (home !== own) return predecessors.has(home) ? { kind: 'forgotten' } : { kind: 'ask-home', incarnation: home }
     if (forgotten.has(id)) return { kind: 'forgotten' }
     return closed ? { kind: 'stopping' } : { kind: 'run' }
   }
@@ -160,12 +189,12 @@
     return entry
   }
 
-  function finish (entry: Entry, how: Ended, answerKept: boolean, now: Milliseconds): void {
-    entry.ended = how
+  function finish (entry: Entry, end: EndedRequest, answerKept: boolean, now: Milliseconds): void {
+    entry.ended = end
     entry.endedAt = now
     entry.answerKept = answerKept
     ended.set(entry.record.id, entry)
-    if (answerKept) answers.set(entry.record.id, entry)
+    if (answerKept) keptAnswers.set(entry.record.id, entry)
   }
 
   function forget (id: RequestId): void {
@@ -176,9 +205,9 @@
 
   function expireAnswers (now: Milliseconds): RequestId[] {
     const dropped: RequestId[] = []
-    for (const [id, entry] of answers) {
+    for (const [id, entry] of keptAnswers) {
       if (now - entry.endedAt < answerRetention && entries.has(id)) break
-      answers.delete(id)
+      keptAnswers.delete(id)
       entry.answerKept = false
       dropped.push(id)
     }
@@ -187,7 +216,7 @@
 
   function expireOutcomes (now: Milliseconds): void {
     for (const [id, entry] of ended) {
-      if (now - entry.endedAt < outcomeRetention && ended.size <= mostEnded) return
+      if (now - entry.endedAt < outcomeRetention && ended.size <= maxEnded) return
       forget(id)
     }
   }
@@ -215,11 +244,11 @@
       const entry = entries.get(id)
       return entry !== undefined && entry.ended === undefined && entry.successor === undefined
     },
-    end: (id, how, now) => {
+    end: (id, end, now) => {
       const entry = entries.get(id)
       if (entry === undefined || entry.ended !== undefined || entry.successor !== undefined) return
-      finish(entry, how, true, now)
-      if (ended.size > mostEnded) expireOutcomes(now)
+      finish(entry, end, true, now)
+      if (ended.size > maxEnded) expireOutcomes(now)
     },
     expire: (now) => {
       const dropped = expireAnswers(now)
@@ -229,37 +258,38 @@
     close: () => {
       closed = true
     },
-    giveAway: () => {
-      if (givenAway) return undefined
+    beginHandOver: () => {
+      if (handOverBegun) return undefined
       closed = true
-      givenAway = true
+      handOverBegun = true
       return [...entries.values()].filter((entry) => entry.successor === undefined).map(toRecord)
     },
     assign: (ids, successor) => {
       /**
-       * Failure guarded against: the reply to a hand-over is lost, the home sends the same id to a second
-       * successor, and both run it. Whether the first message arrived cannot be known, so there is no second.
+       * Failure guarded against: the reply to a hand-over is lost, the home sends the same id to a second successor,
+       * and both run the request. Whether the first message arrived cannot be known, so an id is never sent a second
+       * time.
        */
-      const free = givenAway ? ids.filter((id) => entries.has(id) && entries.get(id)!.successor === undefined) : []
-      for (const id of free) entries.get(id)!.successor = successor
-      return free
+      const assignable = handOverBegun ? ids.filter((id) => entries.has(id) && entries.get(id)!.successor === undefined) : []
+      for (const id of assignable) entries.get(id)!.successor = successor
+      return assignable
     },
-    unsent: (ids) => {
+    unassign: (ids) => {
       for (const id of ids) {
         const entry = entries.get(id)
         if (entry !== undefined) entry.successor = undefined
       }
     },
-    inherit: (from, records, now) => {
-      inherited.add(from)
-      for (const { id } of records) inherited.add(homeOf(id))
-      const fresh = records.filter(({ id }) => !entries.has(id) && homeOf(id) !== own)
-      for (const record of fresh) {
+    takeOver: (from, records, now) => {
+      predecessors.add(from)
+      for (const { id } of records) predecessors.add(homeOf(id))
+      const added = records.filter(({ id }) => !entries.has(id) && homeOf(id) !== own)
+      for (const record of added) {
         const entry = add(record)
         if (record.ended !== undefined) finish(entry, record.ended, false, now)
       }
-      return fresh.map(({ id }) => id)
+      return added.map(({ id }) => id)
     },
-    statistics: () => ({ open: entries.size - ended.size, ended: ended.size, falsePositives: forgotten.falsePositives() })
+    statistics: () => ({ open: entries.size - ended.size, ended: ended.size, falsePositiveRate: forgotten.falsePositiveRate() })
   }
 }
--- a/src/request/isolation.ts
+++ b/src/request/isolation.ts
@@ -1,21 +1,28 @@
 /**
- * Upstreams on which a suspect runs apart. The node that owns an upstream's name admits one suspect at a
- * time there, whichever node it comes from: two suspects of one crash that met again would both be named
- * by the second crash, the innocent one with the culprit.
+ * Upstreams that run a suspect in isolation.
+ *
+ * The node that owns an upstream's name admits one suspect at a time to the upstream, from whichever node it comes.
+ * If two suspects of one crash ran on the same upstream again, a second crash would count against both, and the
+ * harmless one would be quarantined as well.
  */
 import type { Incarnation, UpstreamName } from '../identifiers.js'
 
-/** Suspects in isolation, as the owner of the upstreams' names knows them. */
+/** The suspects in isolation, known to the owner of the upstreams' names. */
 export interface Isolation {
-  /** Admits a dispatch. Asking again under the same permit repeats the answer. @returns false when another suspect is there */
+  /**
+   * Admits a dispatch. Asking again with the same permit gives the same result.
+   *
+   * @returns false if another suspect runs on the upstream
+   */
   enter (upstream: UpstreamName, permit: string, holder: Incarnation): boolean
   leave (upstream: UpstreamName, permit: string): void
-  /** Frees what an unannounced death left behind. */
-  holderGone (holder: Incarnation): void
+  /** Removes the suspects of a node that has died. */
+  releaseHolder (holder: Incarnation): void
 }
 
 /**
- * The node to ask is {@link fingerprintOwner} of {@link isolationSubject}.
+ * Creates a registry without suspects. The node to ask about an upstream is the {@link fingerprintOwner} of its
+ * {@link isolationSubject}.
  *
  * @example
  * if (!isolation.enter(upstream, permitName(id, 2), holder)) tryAnotherUpstream()
@@ -32,7 +39,7 @@
     leave: (upstream, permit) => {
       if (occupants.get(upstream)?.permit === permit) occupants.delete(upstream)
     },
-    holderGone: (holder) => {
+    releaseHolder: (holder) => {
       for (const [upstream, occupant] of occupants) {
         if (occupant.holder === holder) occupants.delete(upstream)
       }
@@ -40,7 +47,12 @@
   }
 }
 
-/** @example fingerprintOwner(isolationSubject(upstream), nodes) */
+/**
+ * Subject by which the owner of an upstream's name is ranked.
+ *
+ * @example
+ * fingerprintOwner(isolationSubject(upstream), nodes)
+ */
 export function isolationSubject (upstream: UpstreamName): string {
   return `isolation/${upstream}`
 }
--- a/src/request/note.ts
+++ b/src/request/note.ts
@@ -1,7 +1,10 @@
 /**
- * Notes about open requests. A home sends them in batches to its buddy, a node in another failure domain,
- * so that an unannounced death leaves somebody who can resume its idempotent streams and who says truthfully
- * what became of the rest. Notes are soft state: bounded, lossy, and never a reason to dispatch.
+ * Notes about open requests.
+ *
+ * A home sends notes in batches to its buddy, which is its first successor, in another failure domain if there is
+ * one. If the home dies unannounced, the buddy resumes the idempotent streams and reports the correct outcome of the
+ * other requests. Notes are soft state: their number is bounded, they may be lost, and a request is never dispatched
+ * because of a note.
  */
 import * as z from 'zod'
 import type { Milliseconds } from '../clock.js'
@@ -17,51 +20,59 @@
   idempotent: z.boolean(),
   fingerprint: z.string(),
   upstream: upstreamNameSchema.optional(),
-  /** The upstream's name for the stream. */
+  /** The upstream's identifier of the stream. */
   handle: z.string().optional(),
-  /** Tokens received when the note was written; the stream may be further. */
+  /** Number of tokens received when the note was written. The stream may have progressed since. */
   offset: z.number().int().nonnegative()
 })
 export type OpenNote = z.infer<typeof openNoteSchema>
 
-/** News from a home, in the order of `sequence`. */
+/** Changes at a home since the previous batch. */
 export const noteBatchSchema = z.object({
   from: incarnationSchema,
-  /** Rises by one with each batch from this home to this buddy. */
+  /** Increases by one with each batch from this home. */
   sequence: z.number().int().positive(),
-  /** The buddy forgets what it knew: this batch tells all that is open. */
+  /**
+   * Whether the buddy must drop all earlier notes of this home. Such a batch begins a transfer of all open requests.
+   */
   whole: z.boolean(),
   open: z.array(openNoteSchema),
   closed: z.array(requestIdSchema)
 })
 export type NoteBatch = z.infer<typeof noteBatchSchema>
 
-/** Home's side: collects changes until the next batch. */
+/** The home's side: collects changes until the next batch. */
 export interface NoteWriter {
-  /** Opens or updates a note; only the latest state travels. */
+  /** Adds or updates a note. Only its latest state is sent. */
   open (note: OpenNote): void
   closed (id: RequestId): void
-  /** Next batch for a buddy, at most `most` notes; undefined when there is no news. A new buddy is told all. */
-  next (buddy: Incarnation, most: number): NoteBatch | undefined
-  /** A batch was not delivered, as far as is known: the buddy is told all next time. */
+  /**
+   * Next batch for a buddy, with at most `maxNotes` open and `maxNotes` closed requests. Undefined if nothing has
+   * changed. A new buddy is sent all notes.
+   */
+  next (buddy: Incarnation, maxNotes: number): NoteBatch | undefined
+  /** Must be called if a batch may not have been delivered. All notes are sent again. */
   failed (): void
 }
 
-/** What a buddy does about a request of a home that died. */
-export type Salvage =
-  /** Attach to the stream at the upstream from the beginning, and answer the caller from there. */
+/** What a buddy does about an open request of a home that died. */
+export type RecoveryDecision =
+  /** Attach to the stream at the upstream, read it from the beginning, and serve the caller from it. */
   | { kind: 'resume', note: OpenNote, position: StreamPosition }
-  /** It cannot be resumed; idempotent work is lost, other work is unknown. */
+  /** The request cannot be resumed. Idempotent work is lost, and the outcome of other work is unknown. */
   | { kind: 'give-up', note: OpenNote, outcome: 'lost' | 'unknown' }
 
-/** Split of what a dead home had open, by class and organisation. It divides a sum that is counted elsewhere. */
-export interface DeathAccount {
+/**
+ * Counts of a dead home's open requests by organisation, class and what became of them. These requests are already
+ * part of a total that is counted elsewhere, so the counts must not be added to it.
+ */
+export interface DeadHomeCounts {
   readonly incarnation: Incarnation
-  readonly rows: readonly DeathRow[]
+  readonly rows: readonly DeadHomeCountsRow[]
 }
 
-/** One row of a {@link DeathAccount}. */
-export interface DeathRow {
+/** One row of {@link DeadHomeCounts}. */
+export interface DeadHomeCountsRow {
   readonly organisation: OrganisationName
   readonly class: ClassName
   readonly resumed: number
@@ -69,29 +80,36 @@
   readonly unknown: number
 }
 
-/** Buddy's side. */
-export interface NoteKeeper {
-  /** @returns false when a batch before this one is missing: the home must tell all again */
+/** The buddy's side. */
+export interface NoteReceiver {
+  /**
+   * Applies a batch.
+   *
+   * @returns false if an earlier batch is missing, in which case the home must send all notes again
+   */
   receive (batch: NoteBatch, now: Milliseconds): boolean
-  /** The home left as announced: it handed its requests over itself. */
+  /** Drops the notes of a home that left as announced, since it has handed its requests over itself. */
   handedOver (home: Incarnation): void
-  /** The home died unannounced. Answers once; a second call finds nothing. */
-  died (home: Incarnation): { salvage: readonly Salvage[], account: DeathAccount }
-  /** Forgets homes that were silent for longer than the retention. */
+  /** Returns the decisions on the open requests of a home that died unannounced. A second call returns none. */
+  died (home: Incarnation): { decisions: readonly RecoveryDecision[], counts: DeadHomeCounts }
+  /** Drops the notes of homes that have sent no batch within the retention period. */
   expire (now: Milliseconds): void
   size (): number
 }
 
 interface HomeNotes {
   sequence: number
-  heardAt: Milliseconds
+  receivedAt: Milliseconds
   readonly notes: Map<RequestId, OpenNote>
 }
 
-const MOST_NOTES = 20_000
+const MAX_NOTES = 20_000
 const RETENTION: Milliseconds = 600_000
 
 /**
+ * Creates the sending side of a home.
+ *
+ * @param own incarnation of the home
  * @example
  * const notes = createNoteWriter(incarnation)
  * notes.open(note)
@@ -105,7 +123,7 @@
   let sequence = 0
   let whole = true
 
-  function tellAll (): void {
+  function sendAllNext (): void {
     whole = true
     changed = new Set(current.keys())
     ended = new Set()
@@ -122,13 +140,13 @@
       if (changed.delete(id) && whole) return
       ended.add(id)
     },
-    failed: tellAll,
-    next: (to, most) => {
-      if (to !== buddy) tellAll()
+    failed: sendAllNext,
+    next: (to, maxNotes) => {
+      if (to !== buddy) sendAllNext()
       buddy = to
       if (!whole && changed.size === 0 && ended.size === 0) return undefined
-      const open = [...changed].slice(0, most)
-      const closed = [...ended].slice(0, most)
+      const open = [...changed].slice(0, maxNotes)
+      const closed = [...ended].slice(0, maxNotes)
       for (const id of open) changed.delete(id)
       for (const id of closed) ended.delete(id)
       sequence += 1
@@ -140,32 +158,35 @@
 }
 
 /**
- * @param mostNotes notes of all homes together; beyond it new ones are not taken
+ * Creates the receiving side of a buddy.
+ *
+ * @param maxNotes maximum number of notes of all homes together. Further notes are dropped.
+ * @param retention time after which the notes of a silent home are dropped
  * @example
- * const keeper = createNoteKeeper()
- * if (!keeper.receive(batch, clock.now())) askForAll()
+ * const receiver = createNoteReceiver()
+ * if (!receiver.receive(batch, clock.now())) requestAllNotes()
  */
-export function createNoteKeeper (mostNotes: number = MOST_NOTES, retention: Milliseconds = RETENTION): NoteKeeper {
+export function createNoteReceiver (maxNotes: number = MAX_NOTES, retention: Milliseconds = RETENTION): NoteReceiver {
   const homes = new Map<Incarnation, HomeNotes>()
-  /** Homes whose account was given: a batch that arrives late changes nothing. */
-  const settled = new Set<Incarnation>()
+  /** Homes that have left or died. Delayed batches from them are ignored. */
+  const finishedHomes = new Set<Incarnation>()
   let size = 0
 
-  function drop (home: Incarnation): HomeNotes | undefined {
+  function removeHome (home: Incarnation): HomeNotes | undefined {
     const known = homes.get(home)
     homes.delete(home)
     size -= known?.notes.size ?? 0
     return known
   }
 
-  function settle (home: Incarnation): HomeNotes | undefined {
-    settled.add(home)
-    return drop(home)
+  function finishHome (home: Incarnation): HomeNotes | undefined {
+    finishedHomes.add(home)
+    return removeHome(home)
   }
 
   function add (known: HomeNotes, note: OpenNote): void {
     if (!known.notes.has(note.id)) {
-      if (size >= mostNotes) return
+      if (size >= maxNotes) return
       size += 1
     }
     known.notes.set(note.id, note)
@@ -173,37 +194,39 @@
 
   return {
     receive: (batch, now) => {
-      if (settled.has(batch.from)) return true
+      if (finishedHomes.has(batch.from)) return true
       const before = homes.get(batch.from)
       if (before !== undefined && batch.sequence <= before.sequence) return true
       if (!batch.whole && before?.sequence !== batch.sequence - 1) return false
-      if (batch.whole) drop(batch.from)
-      const known = homes.get(batch.from) ?? { sequence: 0, heardAt: now, notes: new Map() }
+      if (batch.whole) removeHome(batch.from)
+      const known = homes.get(batch.from) ?? { sequence: 0, receivedAt: now, notes: new Map() }
       homes.set(batch.from, known)
       known.sequence = batch.sequence
-      known.heardAt = now
+      known.receivedAt = now
       for (const note of batch.open) add(known, note)
       for (const id of batch.closed) if (known.notes.delete(id)) size -= 1
       return true
     },
-    handedOver: (home) => { settle(home) },
+    handedOver: (home) => { finishHome(home) },
     died: (home) => {
-      const notes = [...settle(home)?.notes.values() ?? []]
-      const salvage = notes.map(salvageOf)
-      return { salvage, account: accountOf(home, salvage) }
+      const notes = [...finishHome(home)?.notes.values() ?? []]
+      const decisions = notes.map(decideRecovery)
+      return { decisions, counts: countDecisions(home, decisions) }
     },
     expire: (now) => {
-      for (const [home, known] of homes) if (now - known.heardAt > retention) drop(home)
+      for (const [home, known] of homes) if (now - known.receivedAt > retention) removeHome(home)
     },
     size: () => size
   }
 }
 
 /**
- * Failure guarded against: the home was only paused and its upstream still runs a booking, which the buddy
- * runs again. A buddy only ever attaches to the stream that exists, which starts nothing.
+ * Decides what a buddy does about an open request of a home that died.
+ *
+ * Failure guarded against: a home was only paused and its upstream still runs a booking, and the buddy runs the
+ * booking again. A buddy therefore only attaches to existing streams, which starts no work.
  */
-function salvageOf (note: OpenNote): Salvage {
+function decideRecovery (note: OpenNote): RecoveryDecision {
   const { upstream, handle, offset } = note
   if (note.idempotent && upstream !== undefined && handle !== undefined) {
     return { kind: 'resume', note, position: { upstream, handle, offset } }
@@ -212,18 +235,20 @@
 }
 
 /**
- * Failure guarded against: a dead home's open requests are counted by the planner, which folds the home's
- * last counters, and again by the buddy. The account names what part of the folded sum ended how; it adds
- * nothing.
+ * Counts decisions by organisation and class.
+ *
+ * Failure guarded against: a dead home's open requests are counted twice, by the planner, which includes the home's
+ * last counters in its totals, and by the buddy. The counts only split the part of the planner's total that was open,
+ * and add nothing to it.
  */
-function accountOf (incarnation: Incarnation, salvage: readonly Salvage[]): DeathAccount {
+function countDecisions (incarnation: Incarnation, decisions: readonly RecoveryDecision[]): DeadHomeCounts {
   const rows = new Map<string, { organisation: OrganisationName, class: ClassName, resumed: number, lost: number, unknown: number }>()
-  for (const one of salvage) {
-    const { organisation, class: requestClass } = one.note
+  for (const decision of decisions) {
+    const { organisation, class: requestClass } = decision.note
     const key = `${organisation}/${requestClass}`
     const row = rows.get(key) ?? { organisation, class: requestClass, resumed: 0, lost: 0, unknown: 0 }
     rows.set(key, row)
-    row[one.kind === 'resume' ? 'resumed' : one.outcome] += 1
+    row[decision.kind === 'resume' ? 'resumed' : decision.outcome] += 1
   }
   return { incarnation, rows: [...rows.values()] }
 }
--- a/src/request/permit.ts
+++ b/src/request/permit.ts
@@ -1,41 +1,44 @@
-/** Messages about permits and crashes: between a home, the owner of a fingerprint and all other nodes. */
+/** Messages about permits and crashes between a home, the owner of a fingerprint and all other nodes. */
 import * as z from 'zod'
 import { incarnationSchema } from '../identifiers.js'
 
-/** What is known of crashes with a fingerprint in flight. Merging is a union, so it may travel late, twice or out of order. */
+/**
+ * What is known of the crashes of one fingerprint. Evidence is merged as a union of sets, so it may arrive late,
+ * twice or out of order.
+ */
 export const evidenceSchema = z.object({
   fingerprint: z.string().min(1),
-  /** Permits whose dispatch ended in a crash. */
+  /** Names of the crashes; see {@link crashName}. */
   crashes: z.array(z.string()).max(64),
-  /** Such permits that a later whole answer explained away. */
+  /** Crashes that the request did not cause, according to a later complete answer. */
   cleared: z.array(z.string()).max(64),
-  /** The owner has refused the fingerprint. */
+  /** Whether the owner has quarantined the fingerprint. */
   quarantined: z.boolean()
 })
 export type Evidence = z.infer<typeof evidenceSchema>
 
-/** A home asks for a dispatch. */
+/** Request of a home for permission to dispatch. */
 export const permitRequestSchema = z.object({
-  /** Names the dispatch; see {@link permitName}. */
+  /** Name of the dispatch; see {@link permitName}. */
   permit: z.string().min(1).max(200),
   holder: incarnationSchema,
-  /** What the holder itself knows; the owner may not have heard it yet. */
+  /** Evidence known to the holder, which may not have reached the owner yet. */
   evidence: evidenceSchema
 })
 export type PermitRequest = z.infer<typeof permitRequestSchema>
 
 /** Answer to a {@link PermitRequest}. */
 export const permitDecisionSchema = z.discriminatedUnion('kind', [
-  /** `apart`: run it where nothing else runs; see {@link createIsolation}. */
+  /** `apart` says that the request must run in isolation; see {@link createIsolation}. */
   z.object({
     kind: z.literal('granted'),
     apart: z.boolean(),
-    /** Crashes that a whole answer of this dispatch explains away; to be named when it ends. */
+    /** Crashes that a complete answer of this dispatch clears. The holder returns them in {@link PermitEnd}. */
     suspectedFor: z.array(z.string()).max(64)
   }),
-  /** Another one with the same body is in flight and none has been answered yet; ask again. */
+  /** Another dispatch of this fingerprint is in flight and none has been answered yet. Ask again later. */
   z.object({ kind: z.literal('wait') }),
-  /** Two upstreams crashed: refused everywhere. */
+  /** The fingerprint has crashed too many upstreams and is refused at all nodes. */
   z.object({ kind: z.literal('quarantined') })
 ])
 export type PermitDecision = z.infer<typeof permitDecisionSchema>
@@ -44,11 +47,11 @@
 export const permitEndSchema = z.object({
   permit: z.string().min(1).max(200),
   fingerprint: z.string().min(1),
-  /** `withdrawn`: nothing was learnt, since it did not run, or its upstream was left as announced. */
+  /** `withdrawn` gives no evidence: the request did not run, or its upstream left as announced. */
   how: z.enum(['answered', 'crashed', 'withdrawn']),
-  /** What the grant named, so that an owner which knows nothing of the grant clears the same. */
+  /** Crashes named in the grant, so that an owner that does not know of the grant clears the same ones. */
   suspectedFor: z.array(z.string()).max(64).default([]),
-  /** Tokens had come before it ended: a crash is then less likely to be its doing. */
+  /** Whether tokens had arrived before the end. A crash is then less likely to be caused by this request. */
   progressed: z.boolean().default(false)
 })
 export type PermitEnd = z.input<typeof permitEndSchema>
@@ -58,9 +61,9 @@
 export type HeldPermit = z.infer<typeof heldPermitSchema>
 
 /**
- * Name of one dispatch.
+ * Name of one dispatch of a request.
  *
- * @param attempt 1 for the first
+ * @param attempt number of the attempt, starting at 1
  * @example
  * permitName(request.id, 2)
  */
--- a/src/request/seen-filter.ts
+++ b/src/request/seen-filter.ts
@@ -1,40 +1,43 @@
 /**
- * Ids that were used once and whose records are forgotten, in fixed memory (a Bloom filter). It never
- * misses an id that was added; it may take a new id for a used one, which only costs that caller a
- * `may-have-run`.
+ * Filter of ids that were used and whose records have been dropped, with a fixed size (a Bloom filter).
+ *
+ * An id that was added is always recognised. A new id may be mistaken for a used one. Its request is then answered
+ * with `may-have-run` and not dispatched.
  */
 import { hashText } from './hash.js'
 
-/** A set that only grows and never answers a wrong no. */
+/** A growing set of ids without false negatives. */
 export interface SeenFilter {
   add (id: string): void
   has (id: string): boolean
-  /** Share of new ids that would be taken for used ones, from 0 to 1. */
-  falsePositives (): number
+  /** Probability that a new id is mistaken for one that was added, from 0 to 1. */
+  falsePositiveRate (): number
 }
 
-/** Size of a filter. */
+/** Options of a filter. */
 export interface SeenFilterOptions {
-  /** Memory in bits; rounded up to whole words. */
+  /** Size in bits, rounded up to whole words. */
   readonly bits: number
-  /** Bits set for one id. */
+  /** Number of bits set per id. */
   readonly hashes: number
-  /** Secret of the process, so that callers cannot aim at each other's ids. */
+  /** Secret of the process, so that callers cannot construct ids that collide with those of others. */
   readonly seed: number
 }
 
 const WORD_BITS = 32
 
 /**
+ * Creates an empty filter.
+ *
  * @example
  * const seen = createSeenFilter({ bits: 2 ** 24, hashes: 7, seed: random.integer(2 ** 30) })
  */
 export function createSeenFilter (options: SeenFilterOptions): SeenFilter {
   const words = new Uint32Array(Math.ceil(options.bits / WORD_BITS))
   const size = words.length * WORD_BITS
-  let set = 0
+  let bitsSet = 0
 
-  /** Double hashing: two independent hashes stand for all. */
+  /** Positions of an id's bits, derived from two independent hashes (double hashing). */
   function positions (id: string): number[] {
     const first = hashText(id, options.seed)
     const step = (hashText(id, ~options.seed) | 1) >>> 0
@@ -48,10 +51,10 @@
       for (const position of positions(id)) {
         if (isSet(position)) continue
         words[position >>> 5]! |= 1 << (position & 31)
-        set += 1
+        bitsSet += 1
       }
     },
     has: (id) => positions(id).every(isSet),
-    falsePositives: () => (set / size) ** options.hashes
+    falsePositiveRate: () => (bitsSet / size) ** options.hashes
   }
 }
--- a/test/configuration/change.test.ts
+++ b/test/configuration/change.test.ts
@@ -1,4 +1,4 @@
-/** The check of operators' documents and the differences they are shown. */
+/** Validation of configuration documents, and the differences between configurations. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { checkConfiguration, describeDifference, difference } from '../../src/configuration/index.js'
@@ -17,26 +17,26 @@
   }
 }
 
-const REFUSED: ReadonlyArray<{ title: string, spoil: (document: Record<string, any>) => void, says: RegExp }> = [
-  { title: 'a weight', spoil: (it) => { it.classes[0].weight = 3 }, says: /^classes\.0\.weight: weights are not set/ },
-  { title: 'an address', spoil: (it) => { it.services[0].addresses = ['10.0.0.1:80'] }, says: /^services\.0\.addresses: addresses are not named/ },
-  { title: 'instances', spoil: (it) => { it.services[1].min_instances = 2 }, says: /^services\.1\.min_instances: instances are not named/ },
-  { title: 'an unknown key', spoil: (it) => { it.classes[1].target.quantil = 0.9 }, says: /^classes\.1\.target\.quantil: unknown key$/ },
-  { title: 'a class of no service', spoil: (it) => { it.classes[0].service = 'nowhere' }, says: /^classes\.0\.service: there is no service "nowhere"$/ },
-  { title: 'a first token of a plain service', spoil: (it) => { it.classes[1].target.first_token_ms = 1 }, says: /^classes\.1\.target\.first_token_ms: only for services/ },
-  { title: 'a name that stands twice', spoil: (it) => { it.organisations.push({ name: 'tejo', key_sha256: ['b'.repeat(64)] }) }, says: /^organisations\.1\.name: "tejo" stands twice$/ },
-  { title: 'a key of two organisations', spoil: (it) => { it.organisations.push({ name: 'ota', key_sha256: [KEY] }) }, says: /the key already belongs to "tejo"$/ }
+const REFUSED: ReadonlyArray<{ title: string, makeInvalid: (document: Record<string, any>) => void, message: RegExp }> = [
+  { title: 'a weight', makeInvalid: (it) => { it.classes[0].weight = 3 }, message: /^classes\.0\.weight: weights are not set/ },
+  { title: 'an address', makeInvalid: (it) => { it.services[0].addresses = ['10.0.0.1:80'] }, message: /^services\.0\.addresses: addresses are not named/ },
+  { title: 'instances', makeInvalid: (it) => { it.services[1].min_instances = 2 }, message: /^services\.1\.min_instances: instances are not named/ },
+  { title: 'an unknown key', makeInvalid: (it) => { it.classes[1].target.quantil = 0.9 }, message: /^classes\.1\.target\.quantil: unknown key$/ },
+  { title: 'a class without a service', makeInvalid: (it) => { it.classes[0].service = 'nowhere' }, message: /^classes\.0\.service: there is no service "nowhere"$/ },
+  { title: 'a first-token target of a plain service', makeInvalid: (it) => { it.classes[1].target.first_token_ms = 1 }, message: /^classes\.1\.target\.first_token_ms: only for services/ },
+  { title: 'a duplicate name', makeInvalid: (it) => { it.organisations.push({ name: 'tejo', key_sha256: ['b'.repeat(64)] }) }, message: /^organisations\.1\.name: "tejo" stands twice$/ },
+  { title: 'a key shared by two organisations', makeInvalid: (it) => { it.organisations.push({ name: 'ota', key_sha256: [KEY] }) }, message: /the key already belongs to "tejo"$/ }
 ]
 
-for (const { title, spoil, says } of REFUSED) {
+for (const { title, makeInvalid: spoil, message: says } of REFUSED) {
   test(`a document with ${title} is refused with the path and the reason`, () => {
-    const spoilt = document()
-    spoil(spoilt)
-    assert.throws(() => checkConfiguration(spoilt), (error: any) => error.code === 'invalid-request' && error.verdict === 'not-run' && says.test(error.message))
+    const invalid = document()
+    spoil(invalid)
+    assert.throws(() => checkConfiguration(invalid), (error: any) => error.code === 'invalid-request' && error.verdict === 'not-run' && says.test(error.message))
   })
 }
 
-test('the difference names what was added, removed and changed', () => {
+test('the difference lists what was added, removed and changed', () => {
   const before = checkConfiguration(document())
   const changed = document()
   changed.classes[1].target.whole_answer_ms = 1_500
--- a/test/request/answer.test.ts
+++ b/test/request/answer.test.ts
@@ -1,12 +1,13 @@
+/** Reading and writing of an answer by several readers and a writer. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { createAnswer } from '../../src/request/index.js'
 
 const MANY_WAITS = 1_000
 
-// Two windows of one caller wait for the same booking. The node stops answering anybody: each waiting reader
-// wakes the other, for ever, and the one thread never gets to anything else. Here the waits are counted and
-// cut short, so that the fault shows as a number instead of a hang.
+// Guards against a node that stops responding because two readers that wait for the same answer wake each other for
+// ever. The test counts the waits and aborts them at a maximum, so that the failure shows as a number and not as a
+// hang.
 test('readers that wait for one answer do not wake each other', async () => {
   const answer = createAnswer()
   const controller = new AbortController()
@@ -32,7 +33,7 @@
   assert.ok(waits < 20, `${waits} waits`)
 })
 
-test('a writer far ahead waits for the fastest reader and goes on when it has read', async () => {
+test('a writer that is too far ahead waits until the fastest reader has caught up', async () => {
   const answer = createAnswer()
   const { signal } = new AbortController()
   const parts = answer.read(0, signal)[Symbol.asyncIterator]()
@@ -40,7 +41,7 @@
   for (const offset of [0, 1, 2]) answer.append({ offset, text: 'a' })
   await first
   let room = false
-  const waiting = answer.room(2, signal).then(() => { room = true })
+  const waiting = answer.waitForReaders(2, signal).then(() => { room = true })
   await new Promise((resolve) => setImmediate(resolve))
   assert.equal(room, false)
   await parts.next()
--- a/test/request/at-most-once.test.ts
+++ b/test/request/at-most-once.test.ts
@@ -1,3 +1,4 @@
+/** Home tables, hand-overs and retries of several nodes in random interleavings of faults. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -6,13 +7,13 @@
 import { createRandom } from '../../src/random.js'
 import { createLedger } from '../../src/report/index.js'
 import type { CountingLedger } from '../../src/report/index.js'
-import { chatBodySchema, createHomeTable, createRetryPolicy, decideContinuation, decideLeaving } from '../../src/request/index.js'
-import type { HandedRequest, HomeRecord, HomeTable, Outcome, RetryPolicy } from '../../src/request/index.js'
+import { chatBodySchema, createHomeTable, createRetryPolicy, decideContinuation, decideHandOver } from '../../src/request/index.js'
+import type { HandedOverRequest, HomeRecord, HomeTable, Outcome, RetryPolicy } from '../../src/request/index.js'
 import type { Verdict } from '../../src/verdict.js'
 
 const NODES = 3
 const IDS = 6
-const MOST_HOPS = 4
+const MAX_HOPS = 4
 const TOKENS = 4
 const organisation = organisationNameSchema.parse('tejo')
 const requestClass = classNameSchema.parse('booking')
@@ -24,7 +25,7 @@
   tokens: string[]
   dispatched: boolean
   accepted: boolean
-  /** Words of this generation; streams of one handle say the same to whoever reads them. */
+  /** Identifier of the current stream. Each generation has a new one, and its tokens contain it. */
   handle: string | undefined
   handleKnown: boolean
   attempt: number
@@ -36,14 +37,14 @@
   readonly ledger: CountingLedger
   readonly retries: RetryPolicy
   readonly runs: Map<RequestId, Run>
-  /** Handed over, but still known: a shell that tries to go on with them is stopped by the table. */
-  readonly kept: Map<RequestId, Run>
+  /** Runs that were handed over. The node still tries to continue them, and the home table must prevent it. */
+  readonly handedOver: Map<RequestId, Run>
   alive: boolean
   paused: boolean
   leaving: boolean
 }
 
-interface Handed extends HandedRequest {
+interface HandedOverRun extends HandedOverRequest {
   readonly id: RequestId
   readonly accepted: boolean
   readonly handle: string | undefined
@@ -51,22 +52,22 @@
 
 type Message =
   | { kind: 'send', to: Incarnation, id: RequestId, hops: number }
-  | { kind: 'hand-over', from: Incarnation, to: Incarnation, records: readonly HomeRecord[], items: readonly Handed[] }
+  | { kind: 'hand-over', from: Incarnation, to: Incarnation, records: readonly HomeRecord[], items: readonly HandedOverRun[] }
 
 const isIdempotent = (id: RequestId): boolean => id.endsWith('i')
 const keyOf = (id: RequestId) => ({ id, organisation, class: requestClass })
 
-/** Nodes with the real decisions, and a network and upstreams that may do anything. */
+/** Nodes that use the real decisions, with a simulated network and simulated upstreams. */
 function createFleet () {
   const nodes: Node[] = Array.from({ length: NODES }, (_, index) => {
     const incarnation = incarnationSchema.parse(`entry-${index}-x`)
-    const table = createHomeTable({ own: incarnation, seed: index, answerRetention: 50, outcomeRetention: 200, mostEnded: 2, forgottenBits: 2 ** 16 })
-    return { incarnation, table, ledger: createLedger({ wall: () => 0 }), retries: createRetryPolicy(), runs: new Map(), kept: new Map(), alive: true, paused: false, leaving: false }
+    const table = createHomeTable({ own: incarnation, seed: index, answerRetention: 50, outcomeRetention: 200, maxEnded: 2, forgottenFilterBits: 2 ** 16 })
+    return { incarnation, table, ledger: createLedger({ wall: () => 0 }), retries: createRetryPolicy(), runs: new Map(), handedOver: new Map(), alive: true, paused: false, leaving: false }
   })
   const ids = Array.from({ length: IDS }, (_, index) => requestIdFor(nodes[index % NODES]!.incarnation, `request-number-${index}-${index < NODES ? 'n' : 'i'}`))
   const random = createRandom(1)
   const executed = new Map<RequestId, number>()
-  const told = new Map<RequestId, Set<Verdict>>()
+  const reportedVerdicts = new Map<RequestId, Set<Verdict>>()
   /** The longest answer that any caller has read. */
   const read = new Map<RequestId, readonly string[]>()
   const totals = { accepted: 0, ended: 0, handedOver: 0, takenOver: 0 }
@@ -75,8 +76,8 @@
 
   const nodeOf = (incarnation: Incarnation): Node => nodes.find((node) => node.incarnation === incarnation) as Node
 
-  function tell (id: RequestId, verdict: Verdict): void {
-    told.set(id, (told.get(id) ?? new Set()).add(verdict))
+  function report (id: RequestId, verdict: Verdict): void {
+    reportedVerdicts.set(id, (reportedVerdicts.get(id) ?? new Set()).add(verdict))
   }
 
   function arrive (node: Node, id: RequestId, hops: number): void {
@@ -86,11 +87,11 @@
         node.runs.set(id, { id, tokens: [], dispatched: false, accepted: false, handle: undefined, handleKnown: false, attempt: 0 })
         return
       case 'attach': return
-      case 'ended': return tell(id, decision.ended.verdict)
-      case 'stopping': return tell(id, 'not-run')
-      case 'forgotten': return tell(id, 'may-have-run')
+      case 'ended': return report(id, decision.ended.verdict)
+      case 'stopping': return report(id, 'not-run')
+      case 'forgotten': return report(id, 'may-have-run')
       case 'ask-home':
-        if (hops >= MOST_HOPS || !nodeOf(decision.incarnation).alive) return tell(id, 'may-have-run')
+        if (hops >= MAX_HOPS || !nodeOf(decision.incarnation).alive) return report(id, 'may-have-run')
         messages.push({ kind: 'send', to: decision.incarnation, id, hops: hops + 1 })
         return
       case 'conflict':
@@ -101,7 +102,7 @@
   function end (node: Node, run: Run, outcome: Outcome, verdict: Verdict): void {
     node.table.end(run.id, { outcome, verdict }, now)
     node.runs.delete(run.id)
-    if (outcome.kind !== 'served') tell(run.id, verdict)
+    if (outcome.kind !== 'served') report(run.id, verdict)
     if (!run.accepted) return
     totals.ended += 1
     node.ledger.ended(keyOf(run.id), outcome, { acceptedAt: 0 }, { generatedTokens: 0, recomputedTokens: 0 })
@@ -115,7 +116,7 @@
     run.handleKnown = false
   }
 
-  function takeOver (node: Node, handed: Handed): void {
+  function takeOver (node: Node, handed: HandedOverRun): void {
     const run: Run = { id: handed.id, tokens: [...handed.tokens], dispatched: handed.dispatched, accepted: handed.accepted, handle: handed.handle, handleKnown: handed.handle !== undefined, attempt: 0 }
     node.runs.set(run.id, run)
     if (run.accepted) {
@@ -142,7 +143,7 @@
     if (message.kind === 'send') {
       arrive(node, message.id, message.hops)
     } else if (!node.leaving) {
-      const fresh = new Set(node.table.inherit(message.from, message.records, now))
+      const fresh = new Set(node.table.takeOver(message.from, message.records, now))
       for (const handed of message.items) if (fresh.has(handed.id)) takeOver(node, handed)
     }
     return true
@@ -150,15 +151,15 @@
 
   function handOver (node: Node, successor: Node, everything: boolean, records: readonly HomeRecord[]): void {
     const movable = records.filter((record) => {
-      const run = node.runs.get(record.id) ?? node.kept.get(record.id)
-      return run === undefined || everything || decideLeaving({ request: { idempotent: isIdempotent(run.id), work }, dispatched: run.dispatched, handle: run.handleKnown ? run.handle : undefined }) === 'move'
+      const run = node.runs.get(record.id) ?? node.handedOver.get(record.id)
+      return run === undefined || everything || decideHandOver({ request: { idempotent: isIdempotent(run.id), work }, dispatched: run.dispatched, handle: run.handleKnown ? run.handle : undefined }) === 'move'
     })
     const assigned = new Set(node.table.assign(movable.map((record) => record.id), successor.incarnation))
     const sent = movable.filter((record) => assigned.has(record.id))
     const items = sent.flatMap((record) => {
-      const run = node.runs.get(record.id) ?? node.kept.get(record.id)
+      const run = node.runs.get(record.id) ?? node.handedOver.get(record.id)
       if (run === undefined) return []
-      node.kept.set(run.id, run)
+      node.handedOver.set(run.id, run)
       if (node.runs.delete(run.id) && run.accepted) {
         totals.handedOver += 1
         node.ledger.handedOver(keyOf(run.id))
@@ -169,7 +170,7 @@
     messages.push({ kind: 'hand-over', from: node.incarnation, to: successor.incarnation, records: sent, items })
   }
 
-  const given = new Map<Node, readonly HomeRecord[]>()
+  const handOverRecords = new Map<Node, readonly HomeRecord[]>()
 
   return {
     send: (idIndex: number, nodeIndex: number) => {
@@ -187,11 +188,11 @@
     lose: (choice: number) => {
       const message = messages[choice % messages.length]
       messages = messages.filter((other) => other !== message)
-      if (message?.kind === 'send') tell(message.id, 'may-have-run')
+      if (message?.kind === 'send') report(message.id, 'may-have-run')
     },
     work: (nodeIndex: number, choice: number, action: 'go-on' | 'refuse' | 'fail' | 'not-run' | 'tell-handle') => {
       const node = nodes[nodeIndex]!
-      const runs = [...node.runs.values(), ...node.kept.values()]
+      const runs = [...node.runs.values(), ...node.handedOver.values()]
       const run = runs[choice % Math.max(1, runs.length)]
       if (run === undefined || !node.alive || node.paused) return
       if (!node.runs.has(run.id)) {
@@ -233,10 +234,10 @@
       const node = nodes[nodeIndex]!
       if (!node.alive || node.paused) return
       node.leaving = true
-      if (!given.has(node)) given.set(node, node.table.giveAway()!)
+      if (!handOverRecords.has(node)) handOverRecords.set(node, node.table.beginHandOver()!)
       const successors = nodes.filter((other) => other !== node && other.alive && !other.leaving)
       const successor = successors[choice % Math.max(1, successors.length)]
-      if (successor !== undefined) handOver(node, successor, everything, given.get(node)!)
+      if (successor !== undefined) handOver(node, successor, everything, handOverRecords.get(node)!)
     },
     crash: (nodeIndex: number) => {
       if (nodes.filter((node) => node.alive).length > 1) nodes[nodeIndex]!.alive = false
@@ -250,11 +251,11 @@
       for (const id of ids) {
         const count = executed.get(id) ?? 0
         if (!isIdempotent(id)) assert.ok(count <= 1, `${id} ran ${count} times`)
-        if (told.get(id)?.has('not-run') === true) assert.equal(count, 0, `${id} was told not-run and ran`)
+        if (reportedVerdicts.get(id)?.has('not-run') === true) assert.equal(count, 0, `${id} was reported not-run but ran`)
       }
       for (const node of nodes) {
         assert.equal(node.ledger.usage().strays, 0)
-        for (const run of node.runs.values()) for (const token of run.tokens) assert.ok(token.startsWith(`stream-${run.id}-`), 'an answer of another request')
+        for (const run of node.runs.values()) for (const token of run.tokens) assert.ok(token.startsWith(`stream-${run.id}-`), 'the answer contains tokens of another request')
       }
       const open = nodes.reduce((sum, node) => sum + node.ledger.usage().open, 0)
       assert.equal(totals.accepted, totals.ended + open + totals.handedOver - totals.takenOver)
@@ -266,7 +267,7 @@
 
 type Fleet = ReturnType<typeof createFleet>
 
-class Step implements fc.Command<object, Fleet> {
+class NamedCommand implements fc.Command<object, Fleet> {
   constructor (readonly name: string, readonly act: (fleet: Fleet) => void) {}
   check (): boolean { return true }
   run (_model: object, fleet: Fleet): void {
@@ -281,22 +282,22 @@
 let steps = 0
 const node = fc.nat(NODES - 1)
 const choice = fc.nat(20)
-const send = fc.tuple(fc.nat(IDS - 1), node).map(([id, at]) => new Step(`send ${id} at ${at}`, (fleet) => fleet.send(id, at)))
-const deliver = choice.map((which) => new Step(`deliver ${which}`, (fleet) => fleet.deliver(which)))
-const duplicate = choice.map((which) => new Step(`duplicate ${which}`, (fleet) => fleet.duplicate(which)))
-const lose = choice.map((which) => new Step(`lose ${which}`, (fleet) => fleet.lose(which)))
+const send = fc.tuple(fc.nat(IDS - 1), node).map(([id, at]) => new NamedCommand(`send ${id} at ${at}`, (fleet) => fleet.send(id, at)))
+const deliver = choice.map((which) => new NamedCommand(`deliver ${which}`, (fleet) => fleet.deliver(which)))
+const duplicate = choice.map((which) => new NamedCommand(`duplicate ${which}`, (fleet) => fleet.duplicate(which)))
+const lose = choice.map((which) => new NamedCommand(`lose ${which}`, (fleet) => fleet.lose(which)))
 const action = fc.constantFrom('go-on' as const, 'go-on' as const, 'go-on' as const, 'tell-handle' as const, 'refuse' as const, 'fail' as const, 'not-run' as const)
-const workOn = fc.tuple(node, choice, action).map(([at, which, what]) => new Step(`${what} ${which} at ${at}`, (fleet) => fleet.work(at, which, what)))
-const readAt = node.map((at) => new Step(`read at ${at}`, (fleet) => fleet.read(at)))
-const reclaim = fc.tuple(node, choice, fc.boolean()).map(([at, which, all]) => new Step(`reclaim ${at} to ${which} all ${all}`, (fleet) => fleet.reclaim(at, which, all)))
-const crash = node.map((at) => new Step(`crash ${at}`, (fleet) => fleet.crash(at)))
-const pause = fc.tuple(node, fc.boolean()).map(([at, paused]) => new Step(`pause ${at} ${paused}`, (fleet) => fleet.pause(at, paused)))
-const wait = fc.constantFrom(10, 60, 300).map((duration) => new Step(`wait ${duration}`, (fleet) => fleet.wait(duration)))
+const workOn = fc.tuple(node, choice, action).map(([at, which, what]) => new NamedCommand(`${what} ${which} at ${at}`, (fleet) => fleet.work(at, which, what)))
+const readAt = node.map((at) => new NamedCommand(`read at ${at}`, (fleet) => fleet.read(at)))
+const reclaim = fc.tuple(node, choice, fc.boolean()).map(([at, which, all]) => new NamedCommand(`reclaim ${at} to ${which} all ${all}`, (fleet) => fleet.reclaim(at, which, all)))
+const crash = node.map((at) => new NamedCommand(`crash ${at}`, (fleet) => fleet.crash(at)))
+const pause = fc.tuple(node, fc.boolean()).map(([at, paused]) => new NamedCommand(`pause ${at} ${paused}`, (fleet) => fleet.pause(at, paused)))
+const wait = fc.constantFrom(10, 60, 300).map((duration) => new NamedCommand(`wait ${duration}`, (fleet) => fleet.wait(duration)))
 
-// A booking is sent through several nodes, its node is paused, reclaimed or dies, messages between nodes are
-// lost, doubled and late, and the caller sends it again hours later. Two vans, a wrong "not run", another's
-// words in an answer, or a request that no report counts must not come of it.
-test('at most once, truthful refusals, one answer and whole sums in any interleaving', () => {
+// Guards against a booking that runs twice, a wrong `not-run`, an answer with another request's tokens, and a request
+// that no report counts. Requests are sent through several nodes, nodes are paused, reclaimed or die, messages
+// between nodes are lost, duplicated or delayed, and callers repeat requests after they were forgotten.
+test('in any interleaving requests run at most once, refusals are correct, answers are consistent and totals are complete', () => {
   const commands = fc.commands([send, send, deliver, deliver, duplicate, lose, workOn, workOn, workOn, readAt, reclaim, crash, pause, wait], { maxCommands: 120, size: 'max' })
   let runs = 0
   fc.assert(fc.property(commands, (script) => {
--- a/test/request/attempts.test.ts
+++ b/test/request/attempts.test.ts
@@ -1,3 +1,4 @@
+/** Merging of the events of several attempts into one answer. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -8,26 +9,23 @@
 const USAGE = { prompt_tokens: 1, completion_tokens: TOKENS, cached_tokens: 0 }
 const FINISHED: AttemptEvent = { kind: 'finished', tokens: TOKENS, finish: 'stop', usage: USAGE }
 
-/** Everything that a healthy attempt sends when it begins at an offset: its words are its own. */
+/** All events of an attempt that begins at an offset. Each token contains the number of the attempt. */
 function eventsOf (attempt: number, base: number): AttemptEvent[] {
   const tokens = Array.from({ length: TOKENS - base }, (_, index): AttemptEvent => ({ kind: 'token', offset: base + index, text: `${attempt}` }))
   return [...tokens, FINISHED]
 }
 
-/**
- * Each attempt's words, in order, from where it began: what an answer is made of when each of its
- * attempts continued the one before.
- */
+/** Asserts that the answer consists of attempts each of which starts where the answer ended when the attempt began. */
 function assertContinuous (answer: readonly string[], bases: ReadonlyMap<string, number>): void {
   answer.forEach((attempt, offset) => {
     if (offset > 0 && answer[offset - 1] === attempt) return
-    assert.equal(bases.get(attempt), offset, `attempt ${attempt} joins at ${offset}: ${answer.join('')}`)
+    assert.equal(bases.get(attempt), offset, `attempt ${attempt} continues at ${offset}: ${answer.join('')}`)
   })
 }
 
-// A stream goes silent, a second attempt begins, and then both answer: late, twice and out of order.
-// The caller must read one whole answer, not words of both in turn, and not a fragment.
-test('however the pieces of several attempts arrive, there is one whole answer', () => {
+// Guards against an answer that mixes the tokens of two attempts or is incomplete. A stream stalls, a second attempt
+// begins, and then events of both arrive late, twice and out of order.
+test('there is one complete answer in whatever order the events of several attempts arrive', () => {
   const step = fc.record({ action: fc.constantFrom('begin', 'deliver', 'deliver', 'deliver', 'deliver', 'again', 'fail'), choice: fc.nat(997) })
   let finished = 0
   fc.assert(fc.property(fc.array(step, { maxLength: 60, size: 'max' }), (steps) => {
@@ -40,7 +38,7 @@
 
     function carryOut (effects: readonly AttemptEffect[]): void {
       for (const effect of effects) {
-        assert.equal(ends, 0, 'nothing follows the final mark')
+        assert.equal(ends, 0, 'an effect follows the end of the answer')
         switch (effect.kind) {
           case 'append':
             assert.equal(effect.token.offset, answer.length)
@@ -87,14 +85,14 @@
   console.log(`# attempts: ${finished} interleavings`)
 })
 
-test('an attempt whose pieces leave a gap too wide is cancelled', () => {
+test('an attempt with too many early tokens is cancelled', () => {
   const matcher = createAttemptMatcher(0)
   matcher.begin(1)
   const effects = Array.from({ length: 300 }, (_, index) => matcher.handle(1, { kind: 'token', offset: index + 1, text: 'a' })).flat()
   assert.deepEqual(effects, [{ kind: 'cancel', attempt: 1 }, { kind: 'starved' }])
 })
 
-test('the first attempt to answer has the others cancelled at once', () => {
+test('the first attempt that answers cancels the others at once', () => {
   const matcher = createAttemptMatcher(0)
   matcher.begin(1)
   matcher.begin(2)
--- a/test/request/crash-guard.test.ts
+++ b/test/request/crash-guard.test.ts
@@ -1,9 +1,10 @@
+/** Limits on the number of upstreams that crash for one fingerprint. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
 import { failureDomainSchema, incarnationSchema, upstreamNameSchema } from '../../src/identifiers.js'
 import type { Incarnation, UpstreamName } from '../../src/identifiers.js'
-import { createCrashGuard, createIsolation, fingerprintOwner, isolationSubject, MOST_CRASHES, MOST_LATE_CRASHES, permitName } from '../../src/request/index.js'
+import { createCrashGuard, createIsolation, fingerprintOwner, isolationSubject, MAX_CRASHES_BEFORE_FIRST_TOKEN, MAX_TOTAL_CRASHES, permitName } from '../../src/request/index.js'
 import type { CrashGuard, Evidence, Isolation, PermitDecision } from '../../src/request/index.js'
 
 interface Node {
@@ -16,7 +17,7 @@
   alive: boolean
 }
 
-interface Sent {
+interface SentRequest {
   readonly id: string
   readonly body: string
   readonly home: Node
@@ -29,10 +30,14 @@
 }
 
 const UPSTREAMS = Array.from({ length: 5 }, (_, index) => upstreamNameSchema.parse(`engine-${index}`))
-const LONGEST_DRAIN = 20_000
+const MAX_DRAIN_STEPS = 20_000
 
-/** A few nodes and upstreams whose messages arrive in any order, late and twice. */
-function createFleet (nodeCount: number, culprits: ReadonlySet<string>, late = false) {
+/**
+ * Nodes and upstreams with a simulated network that delivers messages late, twice and out of order.
+ *
+ * @param late whether the crashing requests produce tokens before they crash an upstream
+ */
+function createFleet (nodeCount: number, crashingBodies: ReadonlySet<string>, late = false) {
   const nodes: Node[] = Array.from({ length: nodeCount }, (_, index) => ({
     incarnation: incarnationSchema.parse(`entry-${index}-x`),
     failureDomain: failureDomainSchema.parse('zone-a'),
@@ -42,8 +47,8 @@
     group: 0,
     alive: true
   }))
-  const sent: Sent[] = []
-  const inFlight = new Map<UpstreamName, Set<Sent>>(UPSTREAMS.map((name) => [name, new Set()]))
+  const sent: SentRequest[] = []
+  const inFlight = new Map<UpstreamName, Set<SentRequest>>(UPSTREAMS.map((name) => [name, new Set()]))
   const crashes = new Map<string, number>()
   let messages: { from: Node, to: Node, run: () => void }[] = []
 
@@ -58,7 +63,7 @@
     for (const node of nodes) post(from, node, () => node.guard.observe(evidence, 0))
   }
 
-  function ask (request: Sent): void {
+  function ask (request: SentRequest): void {
     const { home, body } = request
     if (home.guard.isQuarantined(body, 0)) {
       request.state = 'refused'
@@ -74,7 +79,7 @@
     })
   }
 
-  function decided (request: Sent, decision: PermitDecision): void {
+  function decided (request: SentRequest, decision: PermitDecision): void {
     switch (decision.kind) {
       case 'quarantined': request.state = 'refused'; return
       case 'wait': request.state = 'waiting'; return
@@ -85,8 +90,8 @@
     }
   }
 
-  /** As the scheduler does: a suspect shares no upstream with another request of its own node. */
-  function place (request: Sent, choice: number): void {
+  /** Like the scheduler, lets a suspect share no upstream with other requests of its node. */
+  function place (request: SentRequest, choice: number): void {
     const allowed = UPSTREAMS.filter((name) => [...inFlight.get(name)!].every((other) => other.home !== request.home || (!request.apart && !other.apart)))
     const upstream = allowed[choice % allowed.length]
     if (upstream === undefined) return
@@ -95,7 +100,7 @@
     if (owner.isolation.enter(upstream, permitName(request.id, request.attempt), request.home.incarnation)) start(request, upstream)
   }
 
-  function start (request: Sent, upstream: UpstreamName): void {
+  function start (request: SentRequest, upstream: UpstreamName): void {
     request.state = 'running'
     request.progressed = false
     request.upstream = upstream
@@ -106,16 +111,16 @@
     const running = [...inFlight.get(upstream)!]
     if (running.length === 0) return
     if (choice % 3 === 0) {
-      for (const request of running) request.progressed ||= late || !culprits.has(request.body)
+      for (const request of running) request.progressed ||= late || !crashingBodies.has(request.body)
       return
     }
-    const culpritsHere = new Set(running.map((request) => request.body).filter((body) => culprits.has(body)))
-    if (culpritsHere.size === 0) return end(running[choice % running.length]!, 'answered')
-    for (const body of culpritsHere) crashes.set(body, (crashes.get(body) ?? 0) + 1)
+    const crashingHere = new Set(running.map((request) => request.body).filter((body) => crashingBodies.has(body)))
+    if (crashingHere.size === 0) return end(running[choice % running.length]!, 'answered')
+    for (const body of crashingHere) crashes.set(body, (crashes.get(body) ?? 0) + 1)
     for (const request of running) end(request, 'crashed')
   }
 
-  function end (request: Sent, how: 'answered' | 'crashed'): void {
+  function end (request: SentRequest, how: 'answered' | 'crashed'): void {
     const { home, body, upstream, suspectedFor, progressed } = request
     inFlight.get(upstream!)!.delete(request)
     if (!home.alive) return
@@ -147,8 +152,8 @@
     node.alive = false
     for (const other of nodes) {
       post(other, other, () => {
-        other.isolation.holderGone(node.incarnation)
-        other.guard.holderGone(node.incarnation)
+        other.isolation.releaseHolder(node.incarnation)
+        other.guard.releaseHolder(node.incarnation)
       })
     }
   }
@@ -171,7 +176,7 @@
     ownerFor,
     send: (body: string, node: Node) => {
       if (!node.alive) return
-      const request: Sent = { id: `${node.incarnation}.${sent.length}`, body, home: node, attempt: 1, state: 'asking', upstream: undefined, apart: false, suspectedFor: [], progressed: false }
+      const request: SentRequest = { id: `${node.incarnation}.${sent.length}`, body, home: node, attempt: 1, state: 'asking', upstream: undefined, apart: false, suspectedFor: [], progressed: false }
       sent.push(request)
       ask(request)
     },
@@ -194,7 +199,7 @@
 }
 
 function drain (fleet: Fleet): void {
-  for (let turn = 0; turn < LONGEST_DRAIN && !fleet.settled(); turn += 1) {
+  for (let turn = 0; turn < MAX_DRAIN_STEPS && !fleet.settled(); turn += 1) {
     if (fleet.pending() > 0) fleet.deliver(0, false)
     fleet.progress(turn)
     fleet.act(UPSTREAMS[turn % UPSTREAMS.length]!, turn)
@@ -206,52 +211,52 @@
   for (const [body, count] of fleet.crashes) assert.ok(count <= bound, `${count} upstreams crashed for ${body}`)
 }
 
-// A plan's odd adapter crashes every engine that runs it. The caller sends it again and again, at once and
-// through several nodes, under new ids, while news between the nodes is late. Two engines may crash; the
-// technicians whose questions were on them get their answers.
-test('a crashing request costs two upstreams however it is re-sent, and its neighbours finish', () => {
+// Guards against a request that crashes every engine that runs it. It is sent repeatedly, concurrently, through
+// several nodes and under new ids, while messages between the nodes are delayed. At most two engines may crash, and
+// the requests that ran beside it must be answered.
+test('a crashing request crashes at most two upstreams however often it is sent, and the requests beside it finish', () => {
   let steps = 0
   fc.assert(fc.property(fc.array(stepArbitrary, { minLength: 20, maxLength: 200, size: 'max' }), (script) => {
     const fleet = createFleet(4, new Set(['culprit']))
     for (const { action, choice } of script) {
       step(fleet, action, choice, ['culprit', 'culprit', 'question-1', 'question-2', 'question-3', 'question-4'])
-      assertBound(fleet, MOST_CRASHES)
+      assertBound(fleet, MAX_CRASHES_BEFORE_FIRST_TOKEN)
       steps += 1
     }
     drain(fleet)
-    assertBound(fleet, MOST_CRASHES)
+    assertBound(fleet, MAX_CRASHES_BEFORE_FIRST_TOKEN)
     for (const { body, state } of fleet.sent) assert.equal(state, body === 'culprit' ? 'refused' : 'answered', body)
   }), { seed: 1, numRuns: 2_000 })
   console.log(`# suspicion: 2000 interleavings, ${steps} steps`)
 })
 
-// The same with a body that crashes engines only after it has given words: those who ran beside it look
-// just like it, so it takes a third engine to tell.
-test('a request that crashes upstreams after its first token costs three, and its neighbours finish', () => {
+// As above, for a request that crashes engines only after it has produced tokens. The requests beside it have the
+// same signs at a crash, so a third crash is needed to identify it.
+test('a request that crashes upstreams after its first token crashes at most three, and the requests beside it finish', () => {
   fc.assert(fc.property(fc.array(stepArbitrary, { minLength: 20, maxLength: 200, size: 'max' }), (script) => {
     const fleet = createFleet(4, new Set(['culprit']), true)
     for (const { action, choice } of script) {
       step(fleet, action, choice, ['culprit', 'culprit', 'question-1', 'question-2', 'question-3', 'question-4'])
-      assertBound(fleet, MOST_LATE_CRASHES)
+      assertBound(fleet, MAX_TOTAL_CRASHES)
     }
     drain(fleet)
-    assertBound(fleet, MOST_LATE_CRASHES)
+    assertBound(fleet, MAX_TOTAL_CRASHES)
   }), { seed: 4, numRuns: 1_000 })
 })
 
-// As above, with two such bodies and with homes that die while their requests are in flight, so that nobody
-// reports the crash. Each such death may cost one engine more, and the death of the body's owner two.
-test('the bound grows by one with each home that dies and by two with the owner', () => {
+// As above, with two crashing requests, and with homes that die while their requests are in flight, so that the crash
+// is not reported. Each death of a home may crash one more engine, and the death of the fingerprint's owner two more.
+test('the limit grows by one with the death of a home and by two with the death of the owner', () => {
   fc.assert(fc.property(fc.array(stepArbitrary, { minLength: 20, maxLength: 200, size: 'max' }), fc.array(fc.nat(199), { maxLength: 3 }), (script, deaths) => {
     const fleet = createFleet(5, new Set(['culprit', 'accomplice']))
-    const bounds = new Map([['culprit', MOST_CRASHES], ['accomplice', MOST_CRASHES]])
+    const bounds = new Map([['culprit', MAX_CRASHES_BEFORE_FIRST_TOKEN], ['accomplice', MAX_CRASHES_BEFORE_FIRST_TOKEN]])
     script.forEach(({ action, choice }, index) => {
       const victim = fleet.nodes[choice % fleet.nodes.length]!
       if (deaths.includes(index) && victim.alive && fleet.nodes.filter((node) => node.alive).length > 1) {
         for (const [body, bound] of bounds) {
           const inFlight = fleet.sent.filter((request) => request.home === victim && request.body === body && request.state !== 'refused')
           const owned = fleet.ownerFor(victim, body) === victim
-          bounds.set(body, bound + (owned ? MOST_CRASHES : 0) + Math.min(1, inFlight.length))
+          bounds.set(body, bound + (owned ? MAX_CRASHES_BEFORE_FIRST_TOKEN : 0) + Math.min(1, inFlight.length))
         }
         fleet.kill(victim)
       }
@@ -261,20 +266,20 @@
   }), { seed: 2, numRuns: 2_000 })
 })
 
-// The zones lose each other for an hour, and the caller reaches all of them. Each part of the fleet can only
-// count for itself.
-test('in a partition the bound holds for each part of the fleet', () => {
+// Guards against more crashes than expected in a network partition while the caller reaches all parts of the fleet.
+// Each part can only count its own crashes.
+test('in a network partition the limit holds for each part of the fleet', () => {
   fc.assert(fc.property(fc.array(stepArbitrary, { minLength: 20, maxLength: 200, size: 'max' }), fc.integer({ min: 2, max: 3 }), (script, groups) => {
     const fleet = createFleet(6, new Set(['culprit']))
     fleet.nodes.forEach((node, index) => { node.group = index % groups })
     for (const { action, choice } of script) {
       step(fleet, action, choice, ['culprit', 'culprit', 'question-1'])
-      assertBound(fleet, MOST_CRASHES * groups)
+      assertBound(fleet, MAX_CRASHES_BEFORE_FIRST_TOKEN * groups)
     }
   }), { seed: 3, numRuns: 500 })
 })
 
-test('a leaving owner passes its permits on, and a late request for an ended permit grants nothing', () => {
+test('a leaving owner hands over its permits, and a delayed request for an ended permit is not granted', () => {
   const [first, second] = [createCrashGuard(), createCrashGuard()]
   const holder = incarnationSchema.parse('entry-1-x')
   const wanted = { permit: 'a#1', holder, evidence: first.evidence('body') }
@@ -286,8 +291,8 @@
   assert.equal(second.acquire({ ...wanted, permit: 'b#1' }, 0).kind, 'granted')
 })
 
-test('records are bounded, culprits are kept longest and released after their time', () => {
-  const guard = createCrashGuard({ mostRecords: 100, quarantine: 1_000 })
+test('the number of records is limited, and quarantined ones are evicted last and expire', () => {
+  const guard = createCrashGuard({ maxRecords: 100, quarantineDuration: 1_000 })
   guard.observe([{ fingerprint: 'culprit', crashes: ['a#1', 'a#2'], cleared: [], quarantined: true }], 0)
   for (let number = 0; number < 1_000; number += 1) guard.observe([{ fingerprint: `body-${number}`, crashes: [`${number}#1`], cleared: [], quarantined: false }], 0)
   assert.ok(guard.size() <= 100)
@@ -295,10 +300,10 @@
   assert.equal(guard.isQuarantined('culprit', 1_000), false)
 })
 
-// The path between two nodes is lost just when a permit ends, so its owner never hears of it. The same
-// question asked again must not wait for ever, and its answer must clear it.
-test('a permit that nobody ends holds others up for a limited time', () => {
-  const guard = createCrashGuard({ permitTime: 1_000 })
+// Guards against requests that wait for ever for a permit whose end was not reported, because the connection between
+// two nodes was lost when it ended. The permit must expire, and the next answer must clear the fingerprint.
+test('a permit whose end is not reported blocks other dispatches for a limited time', () => {
+  const guard = createCrashGuard({ permitTimeout: 1_000 })
   const holder = incarnationSchema.parse('entry-1-x')
   const ask = (permit: string, now: number) => guard.acquire({ permit, holder, evidence: guard.evidence('body') }, now)
   assert.equal(ask('a#1', 0).kind, 'granted')
--- a/test/request/home.test.ts
+++ b/test/request/home.test.ts
@@ -1,3 +1,4 @@
+/** The home table, the filter of forgotten ids and the ranking of successors. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -12,7 +13,7 @@
   ({ id: requestIdFor(home, `booking-number-${number}`), organisation, fingerprint })
 const SERVED = { outcome: { kind: 'served', finish: 'stop', late: false }, verdict: 'ran' } as const
 
-test('a second send attaches, a different body conflicts, another organisation sees nothing', () => {
+test('a repeated request attaches, a different body conflicts, and another organisation has no access', () => {
   const home = createHomeTable({ own, seed: 1 })
   assert.equal(home.submit(submission(own, 1), 0).kind, 'run')
   assert.equal(home.submit(submission(own, 1), 1).kind, 'attach')
@@ -21,12 +22,11 @@
   assert.deepEqual(home.submit(submission(other, 2), 4), { kind: 'ask-home', incarnation: other })
 })
 
-// A family books a visit and is answered. Hours later a mail program finds the unsent copy of the request
-// and sends it again, when the node has long forgotten the booking. Were the id taken for new, a second van
-// would come.
-test('an id that is forgotten is never run again', () => {
-  fc.assert(fc.property(fc.integer({ min: 1, max: 40 }), fc.integer({ min: 1, max: 10 }), (count, mostEnded) => {
-    const home = createHomeTable({ own, seed: 1, answerRetention: 10, outcomeRetention: 50, mostEnded, forgottenBits: 64 })
+// Guards against a booking that runs twice because the caller sends the same request again hours later, after the
+// node has forgotten the first one and takes the id for new.
+test('a forgotten id is never run again', () => {
+  fc.assert(fc.property(fc.integer({ min: 1, max: 40 }), fc.integer({ min: 1, max: 10 }), (count, maxEnded) => {
+    const home = createHomeTable({ own, seed: 1, answerRetention: 10, outcomeRetention: 50, maxEnded, forgottenFilterBits: 64 })
     for (let number = 0; number < count; number += 1) {
       if (home.submit(submission(own, number), number).kind === 'run') home.end(submission(own, number).id, SERVED, number)
     }
@@ -36,9 +36,9 @@
   }), { seed: 1, numRuns: 200 })
 })
 
-// The caller is told "refused, not run" and books by telephone. A copy of its request that a proxy held
-// back arrives at the same node later. It must be refused again, not run.
-test('a refused id stays refused', () => {
+// Guards against a request that runs although its caller was told that it was not run. A proxy has delayed a second
+// copy of the refused request, which must be refused as well.
+test('a refused request stays refused', () => {
   const home = createHomeTable({ own, seed: 1 })
   home.submit(submission(own, 1), 0)
   home.end(submission(own, 1).id, { outcome: { kind: 'refused', code: 'overloaded' }, verdict: 'not-run' }, 0)
@@ -47,14 +47,14 @@
   assert.equal(home.mayDispatch(submission(own, 1).id), false)
 })
 
-// A reclaimed node sends its open bookings to a successor; the reply is lost. It must not offer them to
-// a second successor nor run them itself, since the first may be running them.
-test('the table is given away once and each id is sent once', () => {
+// Guards against a request that runs at two successors. The reply to a hand-over is lost, and the first successor may
+// be running the request. The node must neither assign the request to a second successor nor run it itself.
+test('the table is handed over once and each id is sent once', () => {
   const home = createHomeTable({ own, seed: 1 })
   const { id } = submission(own, 1)
   home.submit(submission(own, 1), 0)
-  assert.equal(home.giveAway()?.length, 1)
-  assert.equal(home.giveAway(), undefined)
+  assert.equal(home.beginHandOver()?.length, 1)
+  assert.equal(home.beginHandOver(), undefined)
   assert.deepEqual(home.assign([id], other), [id])
   assert.deepEqual(home.assign([id], third), [])
   assert.equal(home.mayDispatch(id), false)
@@ -63,28 +63,28 @@
   assert.equal(home.submit(submission(own, 2), 2).kind, 'ended')
 })
 
-test('an heir answers for exactly the ids it received and may give them away again', () => {
-  const heir = createHomeTable({ own: other, seed: 1 })
+test('a successor is responsible for exactly the ids that it took over and can hand them over again', () => {
+  const successor = createHomeTable({ own: other, seed: 1 })
   const { id } = submission(own, 1)
-  assert.deepEqual(heir.inherit(own, [submission(own, 1)], 0), [id])
-  assert.deepEqual(heir.inherit(own, [submission(own, 1)], 0), [])
-  assert.equal(heir.submit(submission(own, 1), 1).kind, 'attach')
-  assert.equal(heir.submit(submission(own, 2), 1).kind, 'forgotten')
-  assert.equal(heir.mayDispatch(id), true)
-  assert.deepEqual(heir.giveAway()?.map((record) => record.id), [id])
-  assert.deepEqual(heir.assign([id], third), [id])
-  assert.deepEqual(heir.find(organisation, id), { kind: 'ask-home', incarnation: third })
+  assert.deepEqual(successor.takeOver(own, [submission(own, 1)], 0), [id])
+  assert.deepEqual(successor.takeOver(own, [submission(own, 1)], 0), [])
+  assert.equal(successor.submit(submission(own, 1), 1).kind, 'attach')
+  assert.equal(successor.submit(submission(own, 2), 1).kind, 'forgotten')
+  assert.equal(successor.mayDispatch(id), true)
+  assert.deepEqual(successor.beginHandOver()?.map((record) => record.id), [id])
+  assert.deepEqual(successor.assign([id], third), [id])
+  assert.deepEqual(successor.find(organisation, id), { kind: 'ask-home', incarnation: third })
 })
 
-test('the forgotten ids of a day cost fewer than one mistake in 100,000', () => {
+test('with the forgotten ids of one day, at most one of 100,000 new ids is mistaken for a forgotten one', () => {
   const seen = createSeenFilter({ bits: 2 ** 24, hashes: 7, seed: 5 })
   for (let number = 0; number < 350_000; number += 1) seen.add(`${own}.id-${number}`)
-  let mistakes = 0
-  for (let number = 0; number < 100_000; number += 1) mistakes += Number(seen.has(`${own}.new-${number}`))
-  assert.ok(mistakes <= 1, `${mistakes} mistakes`)
+  let falsePositives = 0
+  for (let number = 0; number < 100_000; number += 1) falsePositives += Number(seen.has(`${own}.new-${number}`))
+  assert.ok(falsePositives <= 1, `${falsePositives} new ids were mistaken for forgotten ones`)
 })
 
-test('successors are live, elsewhere first, and all nodes agree on them', () => {
+test('successors do not leave, other failure domains come first, and all nodes compute the same ranking', () => {
   const nodes = Array.from({ length: 9 }, (_, index) => ({
     incarnation: incarnationSchema.parse(`entry-${index}-x`),
     failureDomain: failureDomainSchema.parse(`zone-${index % 3}`),
--- a/test/request/retry.test.ts
+++ b/test/request/retry.test.ts
@@ -1,3 +1,4 @@
+/** Retry decisions and retry budgets. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -10,9 +11,9 @@
 const failed = (changes: Partial<FailedAttempt>): FailedAttempt =>
   ({ class: booking, idempotent: true, attempt: 1, verdict: 'may-have-run', code: 'connection-lost', cause: 'failure', ...changes })
 
-// A bus order goes out and its connection breaks before the answer. The coach company may have the
-// order. Sending it again would order a second coach, whatever the reason of the break.
-test('what may have run and is not idempotent is never retried', () => {
+// Guards against a non-idempotent request that runs twice. Its connection is lost before the answer, so the upstream
+// may have run it, and it must not be sent again whatever ended the connection.
+test('a non-idempotent request that may have run is never retried', () => {
   const cause = fc.constantFrom('failure' as const, 'leaving' as const)
   const verdict = fc.constantFrom('may-have-run' as const, 'ran' as const)
   fc.assert(fc.property(cause, verdict, fc.integer({ min: 1, max: 5 }), (cause, verdict, attempt) => {
@@ -21,15 +22,15 @@
   }), { seed: 1, numRuns: 100 })
 })
 
-// All upstreams of a class begin to fail. Every request is retried and the retries keep the upstreams
-// down after the cause is gone. Attempts must stay near the number of requests.
-test('retries stay within a fifth of first attempts and the burst', () => {
+// Guards against a retry storm: all upstreams of a class begin to fail, and the retries keep them overloaded after
+// the cause is gone. The number of attempts must stay close to the number of requests.
+test('retries do not exceed a fifth of the first attempts plus the burst', () => {
   fc.assert(fc.property(fc.integer({ min: 1, max: 500 }), fc.integer(), (requests, seed) => {
-    const policy = createRetryPolicy({ ratio: 0.2, burst: 10, mostAttempts: 4 })
+    const policy = createRetryPolicy({ ratio: 0.2, burst: 10, maxAttempts: 4 })
     const random = createRandom(seed)
     let attempts = 0
     for (let request = 0; request < requests; request += 1) {
-      policy.firstAttempt(booking)
+      policy.recordFirstAttempt(booking)
       for (let attempt = 1; ; attempt += 1) {
         attempts += 1
         if (policy.afterFailure(failed({ attempt }), random).kind === 'give-up') break
@@ -39,7 +40,7 @@
   }), { seed: 1, numRuns: 100 })
 })
 
-test('a reclaim costs neither budget nor attempts, and one class does not spend for another', () => {
+test('a reclaim counts neither as an attempt nor against the budget, and classes have separate budgets', () => {
   const policy = createRetryPolicy({ burst: 1 })
   const random = createRandom(1)
   assert.deepEqual(policy.afterFailure(failed({ cause: 'leaving', attempt: 9 }), random), { kind: 'retry', delay: 0 })
@@ -48,9 +49,9 @@
   assert.equal(policy.afterFailure(failed({ class: classNameSchema.parse('plan') }), random).kind, 'retry')
 })
 
-// An engine with fifty plans dies. The plans beyond the budget of retries would be lost, although other
-// engines are idle: one death is not a storm of failures.
-test('the death of an upstream costs attempts and no budget', () => {
+// Guards against lost requests when an engine with many streams dies. If their retries counted against the budget,
+// most streams would not be retried, although other engines are idle.
+test('the death of an upstream counts as an attempt but not against the budget', () => {
   const policy = createRetryPolicy({ burst: 1 })
   const random = createRandom(1)
   assert.equal(policy.afterFailure(failed({}), random).kind, 'retry')
