--- a/bench/report.ts
+++ b/bench/report.ts
@@ -8,7 +8,7 @@
 import { prefixEnd } from '../src/protocols/key-value.js'
 import type { KeyValue } from '../src/protocols/key-value.js'
 import { readReport } from '../src/operator/report-reader.js'
-import { createFoldMemory, foldGone } from '../src/planner/report-folder.js'
+import { createFoldMemory, foldReports } from '../src/planner/report-folder.js'
 import { createRandom } from '../src/random.js'
 import type { Random } from '../src/random.js'
 import { createLedger, decodeSnapshot, decodeTotal, encodeSnapshot, periodOf, SHARDS } from '../src/report/index.js'
@@ -117,7 +117,7 @@
     if (time < diesAt) count(ledger, random, { ...TODAY, offset: 0 }, REQUESTS_PER_SECOND, time)
     else owner.abort()
     if (time === diesAt + RECORD_LAPSES) store.compareAndDelete(record, store.get(record)!.revision)
-    if (time % FOLD_PERIOD === offset - offset % SECOND) await foldGone(options, new AbortController().signal)
+    if (time % FOLD_PERIOD === offset - offset % SECOND) await foldReports(options, new AbortController().signal)
     await clock.advance(SECOND)
   }
   if (keeper.usage().writes === 0) throw new RangeError('the node never reported')
@@ -179,7 +179,7 @@
   let bytes = 0
   for (let folded = 1; folded > 0 || passes < SHARDS; passes += 1) {
     const start = performance.now()
-    const result = await foldGone(options, new AbortController().signal)
+    const result = await foldReports(options, new AbortController().signal)
     folded = result.folded
     bytes = Math.max(bytes, result.bytes)
     time += performance.now() - start
--- a/src/planner/context.ts
+++ b/src/planner/context.ts
@@ -1,4 +1,4 @@
-/** What a planner works with, and what it remembers between two looks. */
+/** Dependencies of a planner, and the state that it keeps between two planning cycles. */
 import type { EngineState, Learned, PlannerHistory, SentOrder, DesiredState } from '../capacity/index.js'
 import type { Configuration } from '../configuration/index.js'
 import type { Clock, Milliseconds } from '../clock.js'
@@ -15,56 +15,69 @@
 import type { Instance } from '../upstream/index.js'
 import type { PlannerSettings } from './settings.js'
 
-/** What a planner needs of an engine. */
-export type OrderedEngine = Pick<Engine, 'load' | 'order'>
+/** Calls that a planner makes to an engine. */
+export type EngineClient = Pick<Engine, 'load' | 'order'>
 
-/** The world around a planner. */
+/** Dependencies of a planner. */
 export interface PlannerContext {
   readonly settings: Pick<PlannerSettings, 'group' | 'machine_classes' | 'fencing_checked_by'>
   readonly keyValue: KeyValue
   readonly cloud: Cloud
   readonly instanceList: InstanceList
-  readonly engineAt: (address: Address) => OrderedEngine
+  /** Returns a client of the engine at an address. */
+  readonly engineAt: (address: Address) => EngineClient
+  /** Undefined if the platform has no weight store. */
   readonly weightStore: WeightStore | undefined
+  /** Lease under which the planner acts. */
   readonly leadership: Leadership
-  /** Configuration in force; undefined while there is none. */
+  /** Returns the configuration in force, or undefined if there is none. */
   readonly configuration: () => Promise<Configuration | undefined>
-  /** Counts what instances cost; undefined where nobody reports it. */
+  /** Counts the cost of instances. Undefined if the cost is not reported. */
   readonly ledger: Pick<CountingLedger, 'spent'> | undefined
   readonly clock: Clock
   readonly random: Random
   readonly log: Log
+  /** Aborted when the planner stops. */
   readonly signal: AbortSignal
 }
 
-/** An engine with where it answers and on which instance it runs. */
+/** Last known state of an engine, with its address and the instance it runs on. */
 export interface KnownEngine extends EngineState {
   readonly instance: InstanceName
   readonly address: Address
 }
 
-/** What one tenure of the lease remembers. Nothing of it is needed by a successor. */
+/**
+ * State of a planner during one tenure, which is the time for which it holds the lease without interruption. A
+ * successor needs none of this state.
+ */
 export interface Tenure {
+  /** Fencing number of the lease. */
   readonly fencing: number
-  /** Monotonic time since when the lease is held. */
+  /** Monotonic time since which the lease has been held. */
   readonly heldSince: Milliseconds
-  /** State as it was written or read last. */
+  /** Desired state that was last read or written. */
   state: DesiredState
   learned: Learned
-  /** Monotonic time of the last write of what was learnt. */
-  learnedAt: Milliseconds
+  /** Monotonic time of the last write of the learnt state. */
+  learnedWrittenAt: Milliseconds
   history: PlannerHistory
+  /** Last order sent to each engine in this tenure. */
   readonly sent: Map<UpstreamName, SentOrder>
+  /** Instances whose release the cloud has confirmed. */
   readonly released: Set<InstanceName>
+  /** Instances that have ended according to the cloud. */
   readonly ended: Set<InstanceName>
-  /** The instance list as it was read last. */
-  listed: readonly Instance[]
+  /** Instance list that was last read. */
+  listedInstances: readonly Instance[]
+  /** Engines that have reported their load. */
   readonly engines: Map<UpstreamName, KnownEngine>
-  /** Engines that were not settled when they were compared last. */
+  /** Engines that did not report the wanted state in the last comparison. */
   unsettled: ReadonlySet<UpstreamName>
-  /** Monotonic time of each engine's last answer, or of the first time it was asked. */
+  /** Monotonic time of each engine's last response, or of the first query if it has not responded yet. */
   readonly answered: Map<UpstreamName, Milliseconds>
+  /** Last status of the weight store, with the monotonic time at which it was read. */
   storeStatus: { readonly at: Milliseconds, readonly status: WeightStoreStatus } | undefined
-  /** What was said last of targets and losses, so that only changes are told. */
+  /** Last reported text per topic (targets, and losses of each service), so that only changes are reported. */
   readonly told: Map<string, string>
 }
--- a/src/planner/engine-orders.ts
+++ b/src/planner/engine-orders.ts
@@ -1,50 +1,50 @@
-/** Orders to engines that do not report what is wanted, weight loads in their order. */
+/** Sends orders to engines that do not report the wanted state, and decides in which order they load weights. */
 import { checkCompliance, orderLoads, startableLoads, offerKey, shortfallOf, wantedCounts } from '../capacity/index.js'
 import type { Compliance, MixProblem, PendingLoad, ServiceOrder, ServiceSupply, StoreUtilisation } from '../capacity/index.js'
 import type { Milliseconds } from '../clock.js'
 import type { Service } from '../configuration/index.js'
 import type { UpstreamName } from '../identifiers.js'
 import type { KnownEngine, PlannerContext, Tenure } from './context.js'
-import { mayAct } from './instance-orders.js'
+import { holdsLease } from './instance-orders.js'
 
-/** What a service needs, for the order of loads. */
+/** Need of a service, for the order of weight loads. */
 export interface ServiceNeed {
   readonly service: Service
   readonly problem: MixProblem
 }
 
-/** An engine with its order and how it stands to it. */
-interface Standing {
+/** An engine with its order and the result of comparing the two. */
+interface EngineComparison {
   readonly engine: KnownEngine
   readonly order: ServiceOrder
   readonly compliance: Compliance
 }
 
-/** Size of a model that the weight store does not know of. */
-const UNKNOWN_BYTES = 10_000_000_000
+/** Assumed size of a model that the weight store does not list, in bytes. */
+const DEFAULT_MODEL_BYTES = 10_000_000_000
 
 /**
- * Compares every known engine with its order and sends what is due.
+ * Compares every known engine with its order and sends the orders that are due.
  *
- * @param untilNextLook time until this is called again, in milliseconds
- * @returns engines that are not settled, to be looked at again soon
+ * @param untilNextCycle time until the next call, in milliseconds
+ * @returns engines that do not report the wanted state yet and must be queried again soon
  * @example
  * const unsettled = await orderEngines(context, tenure, needs, SECOND)
  */
-export async function orderEngines (context: PlannerContext, tenure: Tenure, needs: readonly ServiceNeed[], untilNextLook: Milliseconds): Promise<ReadonlySet<UpstreamName>> {
-  const standings = standingsOf(context, tenure)
-  const due = standings.filter(({ compliance }) => compliance.kind === 'differs')
+export async function orderEngines (context: PlannerContext, tenure: Tenure, needs: readonly ServiceNeed[], untilNextCycle: Milliseconds): Promise<ReadonlySet<UpstreamName>> {
+  const comparisons = compareEngines(context, tenure)
+  const due = comparisons.filter(({ compliance }) => compliance.kind === 'differs')
   const loading = due.filter(({ compliance }) => compliance.kind === 'differs' && compliance.loads)
-  const startable = await startableOf(context, tenure, loading, standings, needs, untilNextLook)
-  for (const standing of due) {
-    if (!mayAct(context, tenure)) break
-    if (loading.includes(standing) && !startable.has(standing.engine.upstream)) continue
-    await send(context, tenure, standing)
+  const startable = await findStartableEngines(context, tenure, loading, comparisons, needs, untilNextCycle)
+  for (const comparison of due) {
+    if (!holdsLease(context, tenure)) break
+    if (loading.includes(comparison) && !startable.has(comparison.engine.upstream)) continue
+    await sendOrder(context, tenure, comparison)
   }
-  return new Set(standings.filter(({ compliance }) => compliance.kind !== 'settled').map(({ engine }) => engine.upstream))
+  return new Set(comparisons.filter(({ compliance }) => compliance.kind !== 'settled').map(({ engine }) => engine.upstream))
 }
 
-function standingsOf (context: PlannerContext, tenure: Tenure): Standing[] {
+function compareEngines (context: PlannerContext, tenure: Tenure): EngineComparison[] {
   const now = context.clock.now()
   return [...tenure.engines.values()].flatMap((engine) => {
     const order = tenure.state.orders.find((candidate) => candidate.service === engine.service)
@@ -54,66 +54,69 @@
   })
 }
 
-async function send (context: PlannerContext, tenure: Tenure, { engine, order }: Standing): Promise<void> {
+async function sendOrder (context: PlannerContext, tenure: Tenure, { engine, order }: EngineComparison): Promise<void> {
   const { generation, model, version, adapters, role } = order
   tenure.sent.set(engine.upstream, { generation, fencing: tenure.fencing, at: context.clock.now() })
   try {
-    const obeyed = await context.engineAt(engine.address).order({ fencing: tenure.fencing, generation, model, version, adapters, role }, context.signal)
-    // Refused: a newer planner has given orders, and this one's lease is about to end.
-    if (!obeyed) context.log.warn('engine-refused-order', { upstream: engine.upstream, fencing: tenure.fencing })
+    const accepted = await context.engineAt(engine.address).order({ fencing: tenure.fencing, generation, model, version, adapters, role }, context.signal)
+    // A refusal means that a newer planner has sent orders, so this planner is about to lose its lease.
+    if (!accepted) context.log.warn('engine-refused-order', { upstream: engine.upstream, fencing: tenure.fencing })
   } catch {
-    // Whether it arrived is seen from the engine's next report.
+    // The engine's next report shows whether the order arrived.
   }
 }
 
-/** Without a weight store every load may start. */
-async function startableOf (context: PlannerContext, tenure: Tenure, loading: readonly Standing[], standings: readonly Standing[], needs: readonly ServiceNeed[], untilNextLook: Milliseconds): Promise<ReadonlySet<UpstreamName>> {
-  const all = new Set(loading.map(({ engine }) => engine.upstream))
-  if (loading.length === 0 || context.weightStore === undefined) return all
+/** Selects the engines that may start to load weights now. Without a weight store, all of them may. */
+async function findStartableEngines (context: PlannerContext, tenure: Tenure, loading: readonly EngineComparison[], comparisons: readonly EngineComparison[], needs: readonly ServiceNeed[], untilNextCycle: Milliseconds): Promise<ReadonlySet<UpstreamName>> {
+  const allUpstreams = new Set(loading.map(({ engine }) => engine.upstream))
+  if (loading.length === 0 || context.weightStore === undefined) return allUpstreams
   const status = await context.weightStore.status(context.signal).catch(() => undefined)
-  // A store that does not answer its status may still send weights; one load at a time is safe.
-  if (status === undefined) return new Set([...all].slice(0, 1))
+  // The store may still send weights although its status is unavailable. One load at a time is safe.
+  if (status === undefined) return new Set([...allUpstreams].slice(0, 1))
   const sizes = new Map(status.models.map(({ model, bytes }) => [model, bytes]))
-  const pending = loading.map((standing) => pendingOf(tenure, standing, needs, sizes))
-  const underWay = standings.filter(({ engine, order, compliance }) =>
+  const pending = loading.map((comparison) => pendingLoadOf(tenure, comparison, needs, sizes))
+  const inProgress = comparisons.filter(({ engine, order, compliance }) =>
     compliance.kind === 'loading' || (compliance.kind === 'wait' && tenure.sent.get(engine.upstream)?.generation === order.generation))
-  const use = useOf(context, tenure, status, underWay, sizes)
-  const supplies = needs.map((need) => supplyOf(tenure, need, underWay))
-  return new Set(startableLoads(orderLoads(pending, supplies), use, untilNextLook).map((load) => load.upstream))
+  const utilisation = utilisationOf(context, tenure, status, inProgress, sizes)
+  const supplies = needs.map((need) => supplyOf(tenure, need, inProgress))
+  return new Set(startableLoads(orderLoads(pending, supplies), utilisation, untilNextCycle).map((load) => load.upstream))
 }
 
-function pendingOf (tenure: Tenure, { engine, order }: Standing, needs: readonly ServiceNeed[], sizes: ReadonlyMap<string, number>): PendingLoad {
+/** Describes the load of an engine for the order of loads. */
+function pendingLoadOf (tenure: Tenure, { engine, order }: EngineComparison, needs: readonly ServiceNeed[], sizes: ReadonlyMap<string, number>): PendingLoad {
   const slot = tenure.state.slots.find((candidate) => candidate.name === engine.instance)
   const problem = needs.find((need) => need.service.name === engine.service)?.problem
   const offer = problem?.offers.find((candidate) => slot !== undefined && offerKey(candidate) === offerKey(slot.offer))
-  return { upstream: engine.upstream, service: engine.service, bytes: sizes.get(order.model) ?? UNKNOWN_BYTES, capacity: offer?.capacity ?? 1 }
+  return { upstream: engine.upstream, service: engine.service, bytes: sizes.get(order.model) ?? DEFAULT_MODEL_BYTES, capacity: offer?.capacity ?? 1 }
 }
 
-/** What the service serves now, with the loads under way. */
-function supplyOf (tenure: Tenure, { service, problem }: ServiceNeed, underWay: readonly Standing[]): ServiceSupply {
+/** Supply of a service: what it serves now, and what it will serve after the loads in progress. */
+function supplyOf (tenure: Tenure, { service, problem }: ServiceNeed, inProgress: readonly EngineComparison[]): ServiceSupply {
   const order = tenure.state.orders.find((candidate) => candidate.service === service.name)
-  const coming = new Set(underWay.map(({ engine }) => engine.instance))
-  const serving = new Set([...tenure.engines.values()].filter(({ report }) => order !== undefined && report.models.includes(order.model)).map((engine) => engine.instance))
-  const slots = tenure.state.slots.filter((slot) => coming.has(slot.name) || serving.has(slot.name))
+  const loadingInstances = new Set(inProgress.map(({ engine }) => engine.instance))
+  const servingInstances = new Set([...tenure.engines.values()].filter(({ report }) => order !== undefined && report.models.includes(order.model)).map((engine) => engine.instance))
+  const slots = tenure.state.slots.filter((slot) => loadingInstances.has(slot.name) || servingInstances.has(slot.name))
   const missing = shortfallOf({ ...problem, losses: [] }, wantedCounts(slots, service.name, problem))
   return { service: service.name, need: problem.need, supply: problem.need - missing }
 }
 
-function useOf (context: PlannerContext, tenure: Tenure, status: NonNullable<Tenure['storeStatus']>['status'], underWay: readonly Standing[], sizes: ReadonlyMap<string, number>): StoreUtilisation {
+/** Utilisation of the weight store, including loads that were ordered but do not show in its status yet. */
+function utilisationOf (context: PlannerContext, tenure: Tenure, status: NonNullable<Tenure['storeStatus']>['status'], inProgress: readonly EngineComparison[], sizes: ReadonlyMap<string, number>): StoreUtilisation {
   const before = tenure.storeStatus
   const at = context.clock.now()
   tenure.storeStatus = { at, status }
-  const seen = new Set(status.transfers.map((transfer) => transfer.upstream))
-  const announced = underWay.filter(({ engine }) => !seen.has(engine.upstream)).reduce((sum, { order }) => sum + (sizes.get(order.model) ?? UNKNOWN_BYTES), 0)
-  const outstanding = status.transfers.reduce((sum, transfer) => sum + transfer.bytes - transfer.receivedBytes, announced)
+  const transferring = new Set(status.transfers.map((transfer) => transfer.upstream))
+  const notYetTransferring = inProgress.filter(({ engine }) => !transferring.has(engine.upstream)).reduce((sum, { order }) => sum + (sizes.get(order.model) ?? DEFAULT_MODEL_BYTES), 0)
+  const outstanding = status.transfers.reduce((sum, transfer) => sum + transfer.bytes - transfer.receivedBytes, notYetTransferring)
   return { outstanding, rate: status.bytesPerMs, throughput: throughputOf(before, status, at) }
 }
 
+/** Rate of the transfers between two statuses, in bytes per millisecond. Undefined if no transfer was in progress. */
 function throughputOf (before: Tenure['storeStatus'], status: NonNullable<Tenure['storeStatus']>['status'], at: Milliseconds): number | undefined {
   if (before === undefined || at <= before.at || before.status.transfers.length === 0) return undefined
-  const received = before.status.transfers.reduce((sum, old) => {
-    const now = status.transfers.find((transfer) => transfer.upstream === old.upstream && transfer.model === old.model)
-    return sum + (now?.receivedBytes ?? old.bytes) - old.receivedBytes
+  const received = before.status.transfers.reduce((sum, previous) => {
+    const now = status.transfers.find((transfer) => transfer.upstream === previous.upstream && transfer.model === previous.model)
+    return sum + (now?.receivedBytes ?? previous.bytes) - previous.receivedBytes
   }, 0)
   return received / (at - before.at)
 }
--- a/src/planner/keys.ts
+++ b/src/planner/keys.ts
@@ -1,13 +1,13 @@
-/** Where the planner's values lie in the key-value service. */
+/** Keys of the planner's values in the key-value service. */
 
-/** What is wanted: mixes, instances, orders. */
+/** Desired state: mixes, instances and orders. */
 export const DESIRED_STATE_KEY = 'hornbeamgap/planner/desired'
 
-/** What was learnt. */
+/** Learnt state: demands, capacities, reclaims and refusals. */
 export const LEARNED_KEY = 'hornbeamgap/planner/learned'
 
-/** What the planner did and why, for operators. */
+/** Planner's actions and their reasons, for operators. */
 export const HISTORY_KEY = 'hornbeamgap/planner/history'
 
-/** Instances that are drained: small, so that entry nodes can read it often. */
+/** Draining instances. A separate small value, because entry nodes read it often. */
 export const LEAVING_KEY = 'hornbeamgap/planner/leaving'
--- a/src/planner/observation.ts
+++ b/src/planner/observation.ts
@@ -1,4 +1,4 @@
-/** A planner's look at the cloud, the instance list and the engines. */
+/** Observes the cloud, the instance list and the engines for a planner. */
 import { MIN_DRAIN_TIME } from '../capacity/index.js'
 import type { CloudInstance, DesiredState, FleetObservation, Offer, Slot } from '../capacity/index.js'
 import type { Milliseconds } from '../clock.js'
@@ -8,68 +8,76 @@
 import type { Instance } from '../upstream/index.js'
 import type { KnownEngine, PlannerContext, Tenure } from './context.js'
 
-/** What was seen. */
+/** Result of an observation. */
 export interface Observation {
   readonly offers: readonly Offer[]
   readonly cloudInstances: readonly CloudInstance[]
-  readonly listed: readonly Instance[]
+  readonly listedInstances: readonly Instance[]
 }
 
-/** An engine that has not answered for this long on a listed instance is given up. */
-const GIVEN_UP: Milliseconds = 5 * MINUTE
+/** Time after which a listed instance whose engine has not responded is replaced. */
+const SILENCE_TIMEOUT: Milliseconds = 5 * MINUTE
 
-/** Instances of a service that may be silent at once; more look like a lost path of the planner's own. */
-const SILENT_SHARE = 0.2
+/**
+ * Maximum fraction of a service's instances that may be replaced as silent at once. If more are silent, the planner's
+ * own connection is probably broken.
+ */
+const MAX_SILENT_FRACTION = 0.2
 
-/** A report older than this does not show that an instance is idle. */
-const FRESH: Milliseconds = 5 * SECOND
+/** Maximum age of a report that shows an instance to be idle. */
+const MAX_IDLE_REPORT_AGE: Milliseconds = 5 * SECOND
 
-/** Plain services report no load; their calls are short. */
-const PLAIN_DRAIN: Milliseconds = MINUTE
+/** Drain time of instances that report no load. These run plain services, whose calls are short. */
+const PLAIN_DRAIN_TIME: Milliseconds = MINUTE
 
-/** Settled engines asked in one look; at 600 engines each is asked once a minute, for some 2.5 KB/s. */
-const SETTLED_PER_LOOK = 100
+/**
+ * Maximum number of settled engines, which report the wanted state, that are queried in one cycle. With 600 engines,
+ * each is queried once a minute, which takes about 2.5 KB/s.
+ */
+const MAX_SETTLED_PER_CYCLE = 100
 
-/** Engines asked for their load at a time. */
-const ASKED_AT_ONCE = 32
+/** Maximum number of engines queried concurrently. */
+const MAX_CONCURRENT_QUERIES = 32
 
 /**
- * Looks at everything once. Rejects when the cloud or the instance list cannot be had: a list that is
- * missing is not an empty one.
+ * Reads the cloud's offers and instances and the instance list, and queries the engines that are due.
  *
+ * @throws ServingError if the cloud or the instance list is unavailable, because a missing list must not be taken for an
+ *   empty one
  * @example
  * const observation = await observe(context, tenure)
  */
 export async function observe (context: PlannerContext, tenure: Tenure): Promise<Observation> {
   const { cloud, settings, signal } = context
-  const [offers, cloudInstances, listed] = await Promise.all([
+  const [offers, cloudInstances, listedInstances] = await Promise.all([
     cloud.offers(signal),
     cloud.list(settings.group, signal),
     context.instanceList.read(signal)
   ])
-  const engines = listed.filter((instance) => instance.role.kind === 'upstream' && instance.role.protocol === 'model')
-  await askEngines(context, tenure, dueForQuestion(tenure, engines))
-  forgetOthers(tenure, engines)
-  tenure.listed = listed
-  return { offers, cloudInstances, listed }
+  const engines = listedInstances.filter((instance) => instance.role.kind === 'upstream' && instance.role.protocol === 'model')
+  await queryEngines(context, tenure, enginesToQuery(tenure, engines))
+  forgetUnlisted(tenure, engines)
+  tenure.listedInstances = listedInstances
+  return { offers, cloudInstances, listedInstances }
 }
 
 /**
- * Asks engines for their load and keeps what they answer.
+ * Queries the load of engines and stores their reports in the tenure. The last report of an engine that does not respond
+ * is kept.
  *
  * @example
- * await askEngines(context, tenure, unsettled)
+ * await queryEngines(context, tenure, unsettled)
  */
-export async function askEngines (context: PlannerContext, tenure: Tenure, instances: readonly Instance[]): Promise<void> {
+export async function queryEngines (context: PlannerContext, tenure: Tenure, instances: readonly Instance[]): Promise<void> {
   const queue = [...instances]
   const worker = async (): Promise<void> => {
-    for (let instance = queue.shift(); instance !== undefined; instance = queue.shift()) await askEngine(context, tenure, instance)
+    for (let instance = queue.shift(); instance !== undefined; instance = queue.shift()) await queryEngine(context, tenure, instance)
   }
-  await Promise.all(Array.from({ length: Math.min(ASKED_AT_ONCE, queue.length) }, worker))
+  await Promise.all(Array.from({ length: Math.min(MAX_CONCURRENT_QUERIES, queue.length) }, worker))
 }
 
 /**
- * What the capacity decisions need to know of the instances.
+ * State of the instances, as input of the capacity decisions.
  *
  * @example
  * const fleet = fleetOf(context, tenure, observation)
@@ -77,95 +85,101 @@
 export function fleetOf (context: PlannerContext, tenure: Tenure, observation: Observation): FleetObservation {
   const now = context.clock.now()
   const engines = new Map([...tenure.engines.values()].map((engine) => [engine.instance, engine]))
-  const live = observation.listed.filter((instance) => instance.state === 'live' && instance.role.kind === 'upstream')
+  const live = observation.listedInstances.filter((instance) => instance.state === 'live' && instance.role.kind === 'upstream')
   return {
     instances: observation.cloudInstances,
     released: tenure.released,
     ended: tenure.ended,
-    silent: silentInstances(tenure, live, now),
+    silent: findSilentInstances(tenure, live, now),
     serving: new Set(live.filter((instance) => isServing(instance, engines.get(instance.name), tenure.state, now)).map((instance) => instance.name)),
     idle: new Set(tenure.state.slots.filter((slot) => isIdle(slot, engines.get(slot.name), context)).map((slot) => slot.name))
   }
 }
 
 /**
- * What the cloud sells for a service: machine classes that the settings name for its kind, and those
- * on which it runs already.
+ * Offers of the cloud for a service: those of machine classes that the settings name for its kind, and of classes on
+ * which the service already runs.
  *
  * @example
  * const offers = offersFor(context, observation, service)
  */
 export function offersFor (context: PlannerContext, observation: Observation, service: Service): Offer[] {
-  const named = context.settings.machine_classes.filter((one) => one.runs === service.kind).map((one) => one.name)
+  const named = context.settings.machine_classes.filter((machineClass) => machineClass.runs === service.kind).map((machineClass) => machineClass.name)
   const used = observation.cloudInstances.filter((instance) => instance.service === service.name).map((instance) => instance.machineClass)
   const classes = new Set([...named, ...used])
   return observation.offers.filter((offer) => classes.has(offer.machineClass))
 }
 
-/** Engines that are new, not settled or drained, and of the others those whose reports are oldest. */
-function dueForQuestion (tenure: Tenure, engines: readonly Instance[]): Instance[] {
+/** Engines to query: all that are new, draining or not settled, and those of the others whose reports are oldest. */
+function enginesToQuery (tenure: Tenure, engines: readonly Instance[]): Instance[] {
   const drained = new Set(tenure.state.slots.filter((slot) => slot.state === 'leaving').map((slot) => slot.name))
   const reportedAt = (instance: Instance): Milliseconds =>
     instance.role.kind === 'upstream' ? tenure.engines.get(instance.role.upstream)?.reportedAt ?? -Infinity : -Infinity
   const isUrgent = (instance: Instance): boolean =>
     reportedAt(instance) === -Infinity || drained.has(instance.name) || (instance.role.kind === 'upstream' && tenure.unsettled.has(instance.role.upstream))
   const settled = engines.filter((instance) => !isUrgent(instance)).sort((left, right) => reportedAt(left) - reportedAt(right))
-  return [...engines.filter(isUrgent), ...settled.slice(0, SETTLED_PER_LOOK)]
+  return [...engines.filter(isUrgent), ...settled.slice(0, MAX_SETTLED_PER_CYCLE)]
 }
 
-async function askEngine (context: PlannerContext, tenure: Tenure, instance: Instance): Promise<void> {
+async function queryEngine (context: PlannerContext, tenure: Tenure, instance: Instance): Promise<void> {
   if (instance.role.kind !== 'upstream') return
   const { upstream, service } = instance.role
   const { clock, settings, signal } = context
   if (!tenure.answered.has(upstream)) tenure.answered.set(upstream, clock.now())
-  const asked = clock.now()
+  const requestedAt = clock.now()
   try {
     const report = await context.engineAt(instance.address).load(signal)
     tenure.answered.set(upstream, clock.now())
-    // Dated by the moment of asking: an order that arrived after it may be missing from the answer.
-    const reportedAt = asked - report.ageMs
+    // The report is dated by the query, because an order that arrived later may be missing from the report.
+    const reportedAt = requestedAt - report.ageMs
     const checksFencing = settings.fencing_checked_by.includes(service)
     tenure.engines.set(upstream, { upstream, service, report, reportedAt, checksFencing, instance: instance.name, address: instance.address })
   } catch {
-    // Its last report stays; how long it has been silent is seen from the time of its last answer.
+    // The last report is kept. The time of the last response shows how long the engine has been silent.
   }
 }
 
-function forgetOthers (tenure: Tenure, engines: readonly Instance[]): void {
-  const listed = new Set(engines.flatMap((instance) => instance.role.kind === 'upstream' ? [instance.role.upstream] : []))
+/** Drops the state of engines that are no longer in the instance list. */
+function forgetUnlisted (tenure: Tenure, engines: readonly Instance[]): void {
+  const listedUpstreams = new Set(engines.flatMap((instance) => instance.role.kind === 'upstream' ? [instance.role.upstream] : []))
   for (const known of [tenure.engines, tenure.answered, tenure.sent]) {
     for (const upstream of known.keys()) {
-      if (!listed.has(upstream)) known.delete(upstream)
+      if (!listedUpstreams.has(upstream)) known.delete(upstream)
     }
   }
 }
 
-/** Silent instances that are given up, service by service and never many at once. */
-function silentInstances (tenure: Tenure, live: readonly Instance[], now: Milliseconds): Set<InstanceName> {
+/**
+ * Silent instances to be replaced. If more than MAX_SILENT_FRACTION of a service's instances, and more than one, are
+ * silent, none of them is replaced.
+ */
+function findSilentInstances (tenure: Tenure, live: readonly Instance[], now: Milliseconds): Set<InstanceName> {
   const silent = new Map<ServiceName, InstanceName[]>()
   const total = new Map<ServiceName, number>()
   for (const { name, role } of live) {
     if (role.kind !== 'upstream' || role.protocol !== 'model') continue
     total.set(role.service, (total.get(role.service) ?? 0) + 1)
     const answered = tenure.answered.get(role.upstream)
-    if (answered !== undefined && now - answered >= GIVEN_UP) silent.set(role.service, [...silent.get(role.service) ?? [], name])
+    if (answered !== undefined && now - answered >= SILENCE_TIMEOUT) silent.set(role.service, [...silent.get(role.service) ?? [], name])
   }
-  const givenUp = [...silent].filter(([service, names]) => names.length <= Math.max(1, (total.get(service) ?? 0) * SILENT_SHARE))
-  return new Set(givenUp.flatMap(([, names]) => names))
+  const replaceable = [...silent].filter(([service, names]) => names.length <= Math.max(1, (total.get(service) ?? 0) * MAX_SILENT_FRACTION))
+  return new Set(replaceable.flatMap(([, names]) => names))
 }
 
+/** Whether an instance serves its service's current order. Instances of plain services always do. */
 function isServing (instance: Instance, engine: KnownEngine | undefined, state: DesiredState, now: Milliseconds): boolean {
   if (instance.role.kind !== 'upstream') return false
   if (instance.role.protocol === 'plain') return true
   const order = state.orders.find((candidate) => candidate.service === engine?.service)
-  if (engine === undefined || engine.report.leaving || now - engine.reportedAt > GIVEN_UP) return false
+  if (engine === undefined || engine.report.leaving || now - engine.reportedAt > SILENCE_TIMEOUT) return false
   return order === undefined || engine.report.models.includes(order.model)
 }
 
+/** Whether a draining instance has no requests left. Without load reports, this is assumed after PLAIN_DRAIN_TIME. */
 function isIdle (slot: Slot, engine: KnownEngine | undefined, context: PlannerContext): boolean {
   if (slot.state !== 'leaving') return false
-  if (engine === undefined) return context.clock.wall() - slot.since >= PLAIN_DRAIN
-  const isFresh = context.clock.now() - engine.reportedAt < FRESH
+  if (engine === undefined) return context.clock.wall() - slot.since >= PLAIN_DRAIN_TIME
+  const isFresh = context.clock.now() - engine.reportedAt < MAX_IDLE_REPORT_AGE
   const isReportedSince = context.clock.wall() - slot.since >= MIN_DRAIN_TIME + engine.report.ageMs
   return isFresh && isReportedSince && engine.report.running + engine.report.waiting === 0
 }
--- a/src/planner/planner.ts
+++ b/src/planner/planner.ts
@@ -1,4 +1,4 @@
-/** A planner: runs beside an entry node on every instance, and acts only while it holds the lease. */
+/** Planner process. One runs next to each entry node, and only the one that holds the lease acts. */
 import { boundSignal } from '../bound-signal.js'
 import { randomBytes } from 'node:crypto'
 import { setMaxListeners } from 'node:events'
@@ -25,26 +25,29 @@
 import type { PlannerContext } from './context.js'
 import { createPlannerCycle, FOLLOW_UP_PERIOD } from './cycle.js'
 import { createLeaseManager } from '../protocols/lease-manager.js'
-import { createFoldMemory, foldGone } from './report-folder.js'
+import { createFoldMemory, foldReports } from './report-folder.js'
 import type { PlannerSettings } from './settings.js'
 
 /** A running planner. */
 export interface Planner {
   readonly incarnation: Incarnation
   readonly leadership: Leadership
-  /** Gives the lease up and ends: a planned stop. */
+  /** Stops as planned: releases the lease, writes the last report and ends. */
   stop (): Promise<void>
-  /** Ends at once, as the death of the process would. */
+  /** Ends immediately without releasing the lease, like a crash of the process. */
   kill (): Promise<void>
 }
 
 const CONNECTIONS_PER_ADDRESS = 8
 
+/** Pause between two passes over the reports. */
 const FOLD_PERIOD: Milliseconds = 30 * SECOND
-const FOLD_MARGIN: Milliseconds = 10 * SECOND
 
-/** Bound on the last report and on giving the lease up. */
-const STOP_BOUND: Milliseconds = 5 * SECOND
+/** Minimum remaining time of the lease for a pass to start. */
+const FOLD_LEASE_MARGIN: Milliseconds = 10 * SECOND
+
+/** Time limit for writing the last report at a planned stop. */
+const STOP_TIMEOUT: Milliseconds = 5 * SECOND
 
 /**
  * Starts a planner.
@@ -55,8 +58,8 @@
  */
 export function startPlanner (options: { settings: PlannerSettings, clock: Clock, random: Random }): Planner {
   const { settings, clock, random } = options
-  const owner = new AbortController()
-  const { signal } = owner
+  const controller = new AbortController()
+  const { signal } = controller
   setMaxListeners(0, signal)
   const log = createLog(`planner/${settings.instance}`, settings.log_level, clock.wall)
   const incarnation = incarnationSchema.parse(`planner-${settings.instance}-${randomBytes(6).toString('hex')}`)
@@ -64,15 +67,15 @@
   const keyValue = createKeyValue(connections, settings.platform.key_value)
   const leadership = createLeaseManager({ keyValue, clock, random, log, signal, holder: incarnation })
   const ledger = createLedger({ wall: clock.wall })
-  const reports = createReportKeeper({ incarnation, instance: settings.instance, ledger, keyValue, clock, random, log, signal })
-  const storeAddress = settings.platform.weight_store
+  const reporter = createReportKeeper({ incarnation, instance: settings.instance, ledger, keyValue, clock, random, log, signal })
+  const weightStoreAddress = settings.platform.weight_store
   const context: PlannerContext = {
     settings,
     keyValue,
     cloud: createCloud(connections, settings.platform.cloud),
     instanceList: createInstanceList(connections, settings.platform.instance_list),
     engineAt: (address) => createEngine(connections, address),
-    weightStore: storeAddress === undefined ? undefined : createWeightStore(connections, storeAddress),
+    weightStore: weightStoreAddress === undefined ? undefined : createWeightStore(connections, weightStoreAddress),
     leadership,
     configuration: createConfigurationReader(keyValue, signal),
     ledger,
@@ -84,33 +87,33 @@
   const cycle = createPlannerCycle(context)
   const memory = createFoldMemory()
 
-  const run = (task: string, period: Milliseconds, work: () => Promise<unknown>): void => repeat({ clock, log, signal }, `planner-${task}`, period, work)
+  const startTask = (task: string, period: Milliseconds, work: () => Promise<unknown>): void => repeat({ clock, log, signal }, `planner-${task}`, period, work)
 
-  run('look', settings.period_ms, cycle.run)
-  run('engine-orders', FOLLOW_UP_PERIOD, cycle.followUp)
-  run('fold', FOLD_PERIOD, async () => {
-    if (leadership.held(FOLD_MARGIN) !== undefined) await foldGone({ keyValue, clock, log, memory }, signal)
+  startTask('look', settings.period_ms, cycle.run)
+  startTask('engine-orders', FOLLOW_UP_PERIOD, cycle.followUp)
+  startTask('fold', FOLD_PERIOD, async () => {
+    if (leadership.held(FOLD_LEASE_MARGIN) !== undefined) await foldReports({ keyValue, clock, log, memory }, signal)
   })
   log.info('started', { incarnation })
 
-  async function end (): Promise<void> {
-    owner.abort()
+  async function shutDown (): Promise<void> {
+    controller.abort()
     await connections.destroy()
   }
 
   return {
     incarnation,
     leadership,
-    kill: end,
+    kill: shutDown,
     stop: async () => {
       await leadership.release().catch(() => {})
-      await reports.finish(boundSignal(STOP_BOUND)).catch(() => false)
-      await end()
+      await reporter.finish(boundSignal(STOP_TIMEOUT)).catch(() => false)
+      await shutDown()
     }
   }
 }
 
-/** Reads the configuration from the key-value service; never goes back to a lower revision. */
+/** Reads the configuration from the key-value service. A lower revision than the current one is ignored. */
 function createConfigurationReader (keyValue: KeyValue, signal: AbortSignal): PlannerContext['configuration'] {
   let current: ConfigurationRevision | undefined
   return async () => {
--- a/src/planner/settings.ts
+++ b/src/planner/settings.ts
@@ -1,9 +1,9 @@
-/** Settings of `hornbeamgap-planner`: where it is, whom it talks to, and facts about the platform. */
+/** Settings of `hornbeamgap-planner`: its location, the services it calls, and properties of the platform. */
 import * as z from 'zod'
 import { failureDomainSchema, instanceNameSchema, serviceNameSchema } from '../identifiers.js'
 import { entrySettingsSchema, platformSettingsSchema } from '../settings.js'
 
-/** What a machine class of the cloud can run. */
+/** A machine class of the cloud and the kind of service it can run. */
 const machineClassSchema = z.strictObject({
   name: z.string().min(1),
   runs: z.enum(['model', 'plain'])
@@ -15,13 +15,13 @@
   failure_domain: failureDomainSchema,
   log_level: entrySettingsSchema.shape.log_level,
   platform: platformSettingsSchema,
-  /** Name under which the cloud keeps this deployment's instances; no others are touched. */
+  /** Group of this deployment's instances in the cloud. Instances of other groups are not touched. */
   group: z.string().min(1),
-  /** Machine classes that may be bought; a class that is not named is used only where a service already runs on it. */
+  /** Machine classes that may be started. Other classes are used only for services that already run on them. */
   machine_classes: z.array(machineClassSchema).default([]),
-  /** Services whose engines refuse orders with an old fencing number. */
+  /** Services whose engines refuse orders with an outdated fencing number. */
   fencing_checked_by: z.array(serviceNameSchema).default([]),
-  /** Pause between two looks, in milliseconds. */
+  /** Pause between two planning cycles, in milliseconds. */
   period_ms: z.number().int().positive().default(10_000)
 })
 export type PlannerSettings = z.infer<typeof plannerSettingsSchema>
--- a/test/planner/demand-reader.test.ts
+++ b/test/planner/demand-reader.test.ts
@@ -1,4 +1,4 @@
-/** Demand from the nodes' reports: late, repeated, closed and missing ones. */
+/** Demand read from nodes' reports that arrive late, repeatedly or not at all, or that are closed. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { HOUR, SECOND } from '../../src/clock.js'
@@ -49,9 +49,9 @@
   }
 }
 
-// A fleet doubles on every full hour: nodes close their reports then, and what the closed and the new
-// report tell was added up.
-test('a report that was closed on the hour does not count beside its successor', async () => {
+// Failure guarded against: nodes close their reports on the hour. If the rates of the closed and of the new report are
+// added up, the demand and with it the fleet double every hour.
+test('a report closed on the hour is not counted in addition to its successor', async () => {
   const reports = createReports()
   reports.write('entry-1', 1, START - 100 * SECOND, { accepted: 100, generatedTokens: 10_000 })
   assert.deepEqual(await reports.rates(), [1, 100])
@@ -62,9 +62,9 @@
   assert.deepEqual(await reports.rates(), [1, 100])
 })
 
-// Half of the machines are given back although nobody went home: nodes that could not write for a
-// while, and nodes that were replaced, were taken for nodes without work.
-test('rates are differences of the same node\'s reports by their own times, and stale ones say nothing', async () => {
+// Failure guarded against: nodes that could not write for a while, or that were replaced, are taken for nodes without
+// requests, and instances are released although the demand has not decreased.
+test('rates are differences between reports of the same node by their own times, and stale reports are ignored', async () => {
   const reports = createReports()
   reports.write('entry-1', 1, START - 100 * SECOND, { accepted: 100, generatedTokens: 10_000 })
   reports.write('entry-2', 1, START - 10 * SECOND, { accepted: 20, generatedTokens: 2_000 })
--- a/test/planner/harness.ts
+++ b/test/planner/harness.ts
@@ -1,7 +1,7 @@
-/** Two planners before one platform, in virtual time: every message may be late, lost, or held in a paused process. */
+/** Two planners on one platform in virtual time. Each message may be late, lost or held in a paused process. */
 import { createPlannerCycle } from '../../src/planner/cycle.js'
 import type { PlannerCycle } from '../../src/planner/cycle.js'
-import type { OrderedEngine, PlannerContext } from '../../src/planner/context.js'
+import type { EngineClient, PlannerContext } from '../../src/planner/context.js'
 import { DESIRED_STATE_KEY } from '../../src/planner/keys.js'
 import { desiredStateSchema, emptyDesiredState, offerSchema, startOrderSchema } from '../../src/capacity/index.js'
 import type { CloudInstance, DesiredState } from '../../src/capacity/index.js'
@@ -29,68 +29,76 @@
 import { createManualClock } from '../../stand-ins/manual-clock.js'
 import type { ManualClock } from '../../stand-ins/manual-clock.js'
 
-/** What may become of messages; shares of all messages. */
-export interface Trouble {
+/** Faults of messages. `late` and `lost` are fractions of all messages. */
+export interface MessageFaults {
   late: number
   lost: number
-  /** Longest delay of a late message. */
-  latest: Milliseconds
+  /** Maximum delay of a late message. */
+  maxDelay: Milliseconds
 }
 
-/** An engine and what it loaded. */
+/** An engine with the models that it has loaded. */
 export interface EngineProbe {
   readonly state: EngineDesiredState
   readonly loads: string[]
   readonly checksFencing: boolean
 }
 
-/** One of the planners. */
+/** One of the planners, with controls for the test. */
 export interface PlannerProbe {
   readonly cycle: PlannerCycle
+  /** Holds all messages of the planner until it is resumed. */
   pause (): void
   resume (): void
-  /** Starts a run unless one is under way. */
+  /** Starts a planning cycle unless one is in progress or the planner is paused. */
   start (): void
-  /** Renews the lease, or takes it when it has lapsed. */
+  /** Renews the lease, or takes it if it has expired. Does nothing while the planner is paused. */
   takeLease (): void
 }
 
-/** The planners' world. */
+/** The planners and the platform on which they run. */
 export interface PlannerWorld {
   readonly clock: ManualClock
   readonly cloud: CloudState
   readonly store: KeyValueStore
-  readonly trouble: Trouble
+  readonly faults: MessageFaults
   readonly planners: readonly PlannerProbe[]
+  /** Engines that are running at present. */
   engines (): ReadonlyMap<InstanceName, EngineProbe>
-  /** All engines there ever were. */
-  readonly everyEngine: EngineProbe[]
-  /** Names that a written desired state has ever wanted. */
-  readonly wantedEver: Set<InstanceName>
-  /** Names that were released while the written state wanted them. */
-  readonly releasedThoughWanted: InstanceName[]
-  /** Start orders that reached the cloud. */
+  /** All engines that were ever started. */
+  readonly allEngines: EngineProbe[]
+  /** Names of instances that were wanted in any written desired state. */
+  readonly everWanted: Set<InstanceName>
+  /** Names of instances that were released while the written desired state wanted them. */
+  readonly releasedWhileWanted: InstanceName[]
+  /** Names of instances in the start orders that reached the cloud. */
   readonly starts: InstanceName[]
-  /** Engines that no planner reaches, though the cloud lists them. */
-  readonly cutOff: Set<InstanceName>
-  /** Whether an engine reports a running request. */
+  /** Instances whose engines do not respond to any planner, although the cloud lists the instances. */
+  readonly unreachableInstances: Set<InstanceName>
+  /** Sets whether an engine reports a running request. */
   setBusy (name: InstanceName, isBusy: boolean): void
+  /** Desired state that was last written. */
   desired (): DesiredState
+  /** Changes the model of the service in the configuration. */
   setModel (model: string): void
-  /** Lets both planners run without trouble until everything is quiet. */
-  heal (): Promise<void>
+  /** Runs both planners without faults until the fleet has converged. Then stops both. */
+  recover (): Promise<void>
 }
 
 const LEASE_TIME: Milliseconds = 15 * SECOND
 const CALL_TIMEOUT: Milliseconds = 2 * SECOND
-/** Time in which an engine loads a model. */
+/** Time that an engine takes to load a model. */
 const LOAD_TIME: Milliseconds = 3 * SECOND
-const HEALING_LOOKS = 40
+/** Number of planning cycles without faults after which the fleet has converged. */
+const RECOVERY_CYCLES = 40
 const ZONES = ['zone-a', 'zone-b', 'zone-c']
 const GROUP = 'sample'
 
 /**
- * @param options.checksFencing whether an engine checks fencing, by the order of its start
+ * Creates two planners on one platform with three running instances.
+ *
+ * @param options.checksFencing whether an engine checks fencing, by the number of engines started before it
+ * @param options.loadTime time that an engine takes to load a model, in milliseconds
  * @example
  * const world = createPlannerWorld({ seed: 1, checksFencing: (index) => index % 2 === 0 })
  */
@@ -98,17 +106,17 @@
   const clock = createManualClock(1_000_000)
   const random = createRandom(options.seed)
   const store = createKeyValueStore(clock)
-  const trouble: Trouble = { late: 0, lost: 0, latest: 0 }
+  const faults: MessageFaults = { late: 0, lost: 0, maxDelay: 0 }
   const engines = new Map<InstanceName, EngineProbe>()
-  const everyEngine: EngineProbe[] = []
+  const allEngines: EngineProbe[] = []
   const instances = new Map<InstanceName, CloudInstance>()
   const addresses = new Map<Address, InstanceName>()
-  const wantedEver = new Set<InstanceName>()
-  const releasedThoughWanted: InstanceName[] = []
+  const everWanted = new Set<InstanceName>()
+  const releasedWhileWanted: InstanceName[] = []
   const starts: InstanceName[] = []
   const busy = new Set<InstanceName>()
-  const cutOff = new Set<InstanceName>()
-  const owner = new AbortController()
+  const unreachableInstances = new Set<InstanceName>()
+  const controller = new AbortController()
   let model = 'model-1'
   let lease = { holder: -1, fencing: 0, until: 0 }
 
@@ -122,13 +130,13 @@
   }
   store.subscribe(DESIRED_STATE_KEY, '', 0, (changes) => {
     for (const change of changes) {
-      if (change.kind === 'put') for (const slot of desiredStateSchema.parse(JSON.parse(change.entry.value)).slots) wantedEver.add(slot.name)
+      if (change.kind === 'put') for (const slot of desiredStateSchema.parse(JSON.parse(change.entry.value)).slots) everWanted.add(slot.name)
     }
   })
 
   function started (instance: CloudInstance): void {
     const loads: string[] = []
-    const checksFencing = options.checksFencing(everyEngine.length)
+    const checksFencing = options.checksFencing(allEngines.length)
     const state = createDesiredState({
       checkFencing: checksFencing,
       models: [],
@@ -137,13 +145,13 @@
         loads.push(name)
         await clock.sleep(options.loadTime ?? LOAD_TIME, signal)
       },
-      signal: owner.signal
+      signal: controller.signal
     })
     const probe = { state, loads, checksFencing }
-    everyEngine.push(probe)
+    allEngines.push(probe)
     engines.set(instance.name, probe)
     instances.set(instance.name, instance)
-    addresses.set(addressOf(everyEngine.length), instance.name)
+    addresses.set(addressOf(allEngines.length), instance.name)
   }
 
   function ended (instance: CloudInstance): void {
@@ -152,7 +160,7 @@
   }
 
   function release (name: InstanceName): void {
-    if (desired().slots.some((slot) => slot.name === name && slot.state === 'wanted')) releasedThoughWanted.push(name)
+    if (desired().slots.some((slot) => slot.name === name && slot.state === 'wanted')) releasedWhileWanted.push(name)
     cloud.release(name)
   }
 
@@ -161,7 +169,7 @@
     return entry === undefined ? emptyDesiredState() : desiredStateSchema.parse(JSON.parse(entry.value))
   }
 
-  function listed (): Instance[] {
+  function listInstances (): Instance[] {
     const byName = new Map([...addresses].map(([address, name]) => [name, address]))
     return [...instances.values()].map(({ name, service, failureDomain, machineClass, market }) => instanceSchema.parse({
       name, failureDomain, machineClass, address: byName.get(name), state: 'live', reclaimable: market === 'reclaimable', role: { kind: 'upstream', upstream: name, service, protocol: 'model' }
@@ -171,58 +179,61 @@
   function createPlanner (index: number): PlannerProbe {
     let paused: { until: Promise<void>, resume: () => void } | undefined
     let running = false
-    const gate = (): Promise<void> => paused === undefined ? Promise.resolve() : paused.until.then(gate)
+    const waitWhilePaused = (): Promise<void> => paused === undefined ? Promise.resolve() : paused.until.then(waitWhilePaused)
 
-    /** A message: held in the process, then under way, then its reply. A late one takes effect after its sender gave up. */
-    async function send<T> (operation: () => T | Promise<T>): Promise<T> {
+    /**
+     * Sends a message: holds it while the process is paused, then delays it, then returns its reply. A late message may
+     * take effect after its sender has timed out.
+     */
+    async function sendMessage<T> (operation: () => T | Promise<T>): Promise<T> {
       await clock.sleep(1)
-      await gate()
-      const delay = random.fraction() < trouble.late ? random.integer(trouble.latest) : 1
+      await waitWhilePaused()
+      const delay = random.fraction() < faults.late ? random.integer(faults.maxDelay) : 1
       const effect = clock.sleep(delay).then(operation)
-      const isLost = random.fraction() < trouble.lost
+      const isLost = random.fraction() < faults.lost
       if (!isLost && delay < CALL_TIMEOUT) {
         const result = await effect
-        await gate()
+        await waitWhilePaused()
         return result
       }
       effect.catch(() => {})
       await clock.sleep(CALL_TIMEOUT)
-      await gate()
+      await waitWhilePaused()
       throw new ServingError('no answer', { code: 'timeout', verdict: 'may-have-run' })
     }
 
     const direct = createDirectKeyValue(store, createFaultSwitch(clock, random), clock)
     const keyValue: KeyValue = {
       ...direct,
-      get: (key) => send(() => direct.get(key)),
-      list: (prefix) => send(() => direct.list(prefix)),
-      put: (key, value) => send(() => direct.put(key, value)),
-      compareAndSwap: (key, revision, value) => send(() => direct.compareAndSwap(key, revision, value))
+      get: (key) => sendMessage(() => direct.get(key)),
+      list: (prefix) => sendMessage(() => direct.list(prefix)),
+      put: (key, value) => sendMessage(() => direct.put(key, value)),
+      compareAndSwap: (key, revision, value) => sendMessage(() => direct.compareAndSwap(key, revision, value))
     }
-    const near = createInProcessCloud(cloud)
+    const directCloud = createInProcessCloud(cloud)
     const context: PlannerContext = {
       settings: { group: GROUP, machine_classes: [{ name: 'large', runs: 'model' }], fencing_checked_by: [] },
       keyValue,
       cloud: {
-        offers: () => send(near.offers),
-        list: (group) => send(() => near.list(group)),
-        notices: (after) => send(() => near.notices(after)),
-        start: (order) => send(() => {
+        offers: () => sendMessage(directCloud.offers),
+        list: (group) => sendMessage(() => directCloud.list(group)),
+        notices: (after) => sendMessage(() => directCloud.notices(after)),
+        start: (order) => sendMessage(() => {
           starts.push(order.name)
-          return near.start(order)
+          return directCloud.start(order)
         }),
-        release: (name) => send(() => release(name))
+        release: (name) => sendMessage(() => release(name))
       },
-      instanceList: { read: () => send(listed) },
-      engineAt: (address) => engineAt(address, send),
+      instanceList: { read: () => sendMessage(listInstances) },
+      engineAt: (address) => engineAt(address, sendMessage),
       weightStore: undefined,
-      leadership: { held: (margin) => heldBy(index, margin) },
+      leadership: { held: (margin) => heldLease(index, margin) },
       configuration: async () => configuration(model),
       ledger: undefined,
-      clock: { ...clock, sleep: async (delay) => { await clock.sleep(delay); await gate() } },
+      clock: { ...clock, sleep: async (delay) => { await clock.sleep(delay); await waitWhilePaused() } },
       random,
       log: { info: () => {}, warn: () => {}, error: () => {} },
-      signal: owner.signal
+      signal: controller.signal
     }
     const cycle = createPlannerCycle(context)
     return {
@@ -250,10 +261,10 @@
     }
   }
 
-  function engineAt (address: Address, send: <T>(operation: () => T | Promise<T>) => Promise<T>): OrderedEngine {
+  function engineAt (address: Address, send: <T>(operation: () => T | Promise<T>) => Promise<T>): EngineClient {
     const probe = (): EngineProbe => {
       const found = engines.get(addresses.get(address) as InstanceName)
-      if (found === undefined || cutOff.has(addresses.get(address) as InstanceName)) throw new ServingError('connection refused', { code: 'connection-lost', verdict: 'not-run' })
+      if (found === undefined || unreachableInstances.has(addresses.get(address) as InstanceName)) throw new ServingError('connection refused', { code: 'connection-lost', verdict: 'not-run' })
       return found
     }
     return {
@@ -267,7 +278,7 @@
     }
   }
 
-  function heldBy (index: number, margin: Milliseconds): HeldLease | undefined {
+  function heldLease (index: number, margin: Milliseconds): HeldLease | undefined {
     if (lease.holder !== index || clock.now() + margin >= lease.until) return undefined
     return { fencing: lease.fencing, until: lease.until }
   }
@@ -277,21 +288,21 @@
     clock,
     cloud,
     store,
-    trouble,
+    faults,
     planners,
-    everyEngine,
-    wantedEver,
+    allEngines,
+    everWanted,
     engines: () => engines,
-    releasedThoughWanted,
+    releasedWhileWanted,
     starts,
-    cutOff,
+    unreachableInstances,
     setBusy: (name, isBusy) => { isBusy ? busy.add(name) : busy.delete(name) },
     desired,
     setModel: (name) => { model = name },
-    heal: async () => {
-      Object.assign(trouble, { late: 0, lost: 0, latest: 0 })
+    recover: async () => {
+      Object.assign(faults, { late: 0, lost: 0, maxDelay: 0 })
       for (const planner of planners) planner.resume()
-      for (let look = 0; look < HEALING_LOOKS; look += 1) {
+      for (let cycle = 0; cycle < RECOVERY_CYCLES; cycle += 1) {
         for (const planner of planners) {
           planner.takeLease()
           planner.start()
@@ -299,7 +310,7 @@
         cloud.settle()
         await clock.advance(10 * SECOND)
       }
-      owner.abort()
+      controller.abort()
     }
   }
 }
--- a/test/planner/interleavings.test.ts
+++ b/test/planner/interleavings.test.ts
@@ -1,4 +1,4 @@
-/** Two planners, pauses, lost and late messages: nothing is bought or loaded twice, and nothing stays stale. */
+/** Two planners with pauses and lost or late messages: nothing is started or loaded twice, and the fleet converges. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -8,6 +8,10 @@
 import { createPlannerWorld } from './harness.js'
 import type { PlannerWorld } from './harness.js'
 
+/**
+ * One step of a property. `look` runs a planning cycle, `room` limits the number of reclaimable instances in a failure
+ * domain. Times are in milliseconds.
+ */
 type Step =
   | { kind: 'look', planner: number, time: number }
   | { kind: 'pause', planner: number, time: number }
@@ -18,8 +22,8 @@
 
 const ZONES = ['zone-a', 'zone-b', 'zone-c'].map((zone) => failureDomainSchema.parse(zone))
 
-/** Looks without trouble before a property's steps begin. */
-const WARM_UP = 4
+/** Number of planning cycles without faults before the steps of a property. */
+const WARM_UP_CYCLES = 4
 
 const planner = fc.integer({ min: 0, max: 1 })
 const zone = fc.integer({ min: 0, max: 2 })
@@ -32,95 +36,95 @@
   { weight: 1, arbitrary: fc.record({ kind: fc.constant('room' as const), zone, room: fc.integer({ min: 0, max: 2 }) }) }
 )
 
-// The bill shows machines that nobody uses, or one zone's engines answer with last week's model: a
-// planner was paused in the middle of its work, another took over, and the first one's orders arrived
-// late. Names that are used once, states that only move forward, and engines compared with what is
-// wanted leave nothing for a late order to break.
-test('whatever is paused, late or lost, the fleet ends as the last decision wants it', async () => {
+// Failure guarded against: a planner is paused during a cycle, another one takes over, and the orders of the first one
+// arrive late. Instances then run without being wanted, or the engines of a failure domain serve an outdated model.
+// Late orders have no lasting effect, because instance names are used only once, slot states only advance, and engines
+// are compared with the desired state repeatedly.
+test('with any pauses and any late or lost messages, the fleet converges to the last desired state', async () => {
   await fc.assert(fc.asyncProperty(fc.array(anyStep, { minLength: 20, maxLength: 60 }), fc.integer(), async (steps, seed) => {
     const world = createPlannerWorld({ seed, checksFencing: (index) => index % 2 === 0 })
-    await run(world, WARM_UP)
-    Object.assign(world.trouble, { late: 0.04, lost: 0.02, latest: 12 * SECOND })
-    await play(world, steps)
-    await world.heal()
-    assertWhole(world)
-    assertBoughtOnce(world)
-    assert.deepEqual(world.releasedThoughWanted, [])
+    await runCycles(world, WARM_UP_CYCLES)
+    Object.assign(world.faults, { late: 0.04, lost: 0.02, maxDelay: 12 * SECOND })
+    await applySteps(world, steps)
+    await world.recover()
+    assertConverged(world)
+    assertStartedOnce(world)
+    assert.deepEqual(world.releasedWhileWanted, [])
   }), { seed: 1, numRuns: 60 })
 })
 
-// An engine without fencing loads a model twice although it was never wanted twice: the successor
-// ordered before its predecessor's last order had arrived. Short pauses and late messages end within
-// the bound that a successor waits out.
-test('with pauses within the bound no engine loads a model more often than it was wanted', async () => {
+// Failure guarded against: a successor orders an engine before the last order of its predecessor has arrived, and the
+// engine, which does not check fencing, loads a model twice although it was wanted once. Short pauses and delays end
+// within the time for which a successor waits before its first order.
+test('with pauses shorter than the successor\'s wait, no engine loads a model more often than it was wanted', async () => {
   const shortStep = anyStep.map((step): Step => (step.kind === 'pause' ? { ...step, time: Math.min(step.time, 2_000) } : step))
   await fc.assert(fc.asyncProperty(fc.array(shortStep, { minLength: 20, maxLength: 60 }), fc.integer(), async (steps, seed) => {
     const world = createPlannerWorld({ seed, checksFencing: (index) => index % 2 === 0 })
-    await run(world, WARM_UP)
-    Object.assign(world.trouble, { late: 0.1, lost: 0.02, latest: 1_500 })
+    await runCycles(world, WARM_UP_CYCLES)
+    Object.assign(world.faults, { late: 0.1, lost: 0.02, maxDelay: 1_500 })
     let models = 1
     for (const step of steps) {
       if (step.kind === 'model') models += 1
-      await play(world, [step])
+      await applySteps(world, [step])
       if (step.kind === 'pause') world.planners[step.planner]?.resume()
     }
-    await world.heal()
-    assertWhole(world)
-    for (const engine of world.everyEngine) assert.ok(engine.loads.length <= models, `${engine.loads.join()} for ${models} changes`)
+    await world.recover()
+    assertConverged(world)
+    for (const engine of world.allEngines) assert.ok(engine.loads.length <= models, `${engine.loads.join()} for ${models} changes`)
   }), { seed: 2, numRuns: 60 })
 })
 
-test('engines that check fencing never go back, however long a planner was paused', async () => {
+test('engines that check fencing never obey an older generation, however long a planner was paused', async () => {
   await fc.assert(fc.asyncProperty(fc.array(anyStep, { minLength: 20, maxLength: 60 }), fc.integer(), async (steps, seed) => {
     const world = createPlannerWorld({ seed, checksFencing: () => true })
-    await run(world, WARM_UP)
-    Object.assign(world.trouble, { late: 0.06, lost: 0.02, latest: 20 * SECOND })
-    await play(world, steps)
-    await world.heal()
-    for (const { state } of world.everyEngine) {
+    await runCycles(world, WARM_UP_CYCLES)
+    Object.assign(world.faults, { late: 0.06, lost: 0.02, maxDelay: 20 * SECOND })
+    await applySteps(world, steps)
+    await world.recover()
+    for (const { state } of world.allEngines) {
       const generations = state.obeyed.map((order) => order.generation)
       assert.deepEqual(generations, [...generations].sort((left, right) => left - right))
     }
   }), { seed: 3, numRuns: 30 })
 })
 
-// A month's bill doubles after the key-value service lost its contents, or came back from an old
-// copy: the planner found too little wanted, and bought a fleet beside the one that ran. Engines
-// refused its orders, whose numbers they had seen long before.
+// Failure guarded against: the key-value service loses its contents or is restored from an old backup. The planner
+// finds too few instances wanted and starts a second fleet next to the running one. Engines refuse its orders, because
+// they have already seen the generations of these orders.
 for (const loss of ['lost', 'restored from an old copy'] as const) {
-  test(`a planner whose state was ${loss} takes over what runs`, async () => {
+  test(`a planner whose state was ${loss} takes over the running fleet`, async () => {
     const world = createPlannerWorld({ seed: 1, checksFencing: () => true })
-    await run(world, 5)
+    await runCycles(world, 5)
     const oldCopy = world.store.get(DESIRED_STATE_KEY)!.value
     world.cloud.reclaimDomain(ZONES[0]!, 0)
-    await run(world, 12)
+    await runCycles(world, 12)
     for (const model of ['model-2', 'model-1']) {
       world.setModel(model)
-      await run(world, 12)
+      await runCycles(world, 12)
     }
-    const before = names(world)
+    const before = instanceNames(world)
     if (loss === 'lost') for (const key of [DESIRED_STATE_KEY, LEARNED_KEY, HISTORY_KEY]) world.store.compareAndDelete(key, world.store.get(key)?.revision ?? 0)
     else world.store.put(DESIRED_STATE_KEY, oldCopy)
-    await run(world, 12)
-    assert.deepEqual(names(world), before)
-    assertWhole(world)
+    await runCycles(world, 12)
+    assert.deepEqual(instanceNames(world), before)
+    assertConverged(world)
   })
 }
 
-// A machine runs for weeks and nobody knows of it: the cloud started it for an order that arrived
-// after the planner had given its name up, and had forgotten that the name was used.
-test('an instance that an old order started is given back, and a newer planner\'s is not', async () => {
+// Failure guarded against: a start order arrives after the planner has released the name and dropped it from the
+// desired state. The cloud starts the instance, and it runs without being wanted.
+test('an instance started by an old order is released, and instances of a newer planner are not', async () => {
   const world = createPlannerWorld({ seed: 1, checksFencing: () => true })
-  await run(world, 5)
+  await runCycles(world, 5)
   const offer = { group: 'sample', service: 'plans', failureDomain: ZONES[0]!, machineClass: 'large', market: 'reclaimable' as const }
-  const old = instanceNameSchema.parse('plans-g1-s9')
-  world.cloud.start({ ...offer, name: old, service: world.desired().slots[0]!.service })
-  await run(world, 5)
-  assert.ok(!names(world).includes(old))
-  assertWhole(world)
+  const strayName = instanceNameSchema.parse('plans-g1-s9')
+  world.cloud.start({ ...offer, name: strayName, service: world.desired().slots[0]!.service })
+  await runCycles(world, 5)
+  assert.ok(!instanceNames(world).includes(strayName))
+  assertConverged(world)
 })
 
-async function play (world: PlannerWorld, steps: readonly Step[]): Promise<void> {
+async function applySteps (world: PlannerWorld, steps: readonly Step[]): Promise<void> {
   for (const step of steps) {
     switch (step.kind) {
       case 'look':
@@ -148,22 +152,24 @@
   }
 }
 
-async function run (world: PlannerWorld, looks: number): Promise<void> {
-  for (let look = 0; look < looks; look += 1) {
+/** Runs planning cycles of the first planner, 10 s apart. */
+async function runCycles (world: PlannerWorld, cycles: number): Promise<void> {
+  for (let cycle = 0; cycle < cycles; cycle += 1) {
     world.planners[0]?.takeLease()
     world.planners[0]?.start()
     await world.clock.advance(10 * SECOND)
   }
 }
 
-function names (world: PlannerWorld): string[] {
+function instanceNames (world: PlannerWorld): string[] {
   return world.cloud.list('sample').map((instance) => instance.name).sort()
 }
 
-function assertWhole (world: PlannerWorld): void {
+/** Asserts that exactly the wanted instances run and that their engines serve the ordered model. */
+function assertConverged (world: PlannerWorld): void {
   const { slots, orders } = world.desired()
   const wanted = slots.filter((slot) => slot.state !== 'released').map((slot) => slot.name).sort()
-  assert.deepEqual(names(world), wanted)
+  assert.deepEqual(instanceNames(world), wanted)
   assert.ok(slots.some((slot) => slot.state === 'wanted'))
   for (const [name, { state }] of world.engines()) {
     assert.deepEqual(state.models(), [orders[0]?.model], `${name} serves another model`)
@@ -171,8 +177,9 @@
   }
 }
 
-function assertBoughtOnce (world: PlannerWorld): void {
-  const bought = world.cloud.bought().map((order) => order.name)
-  assert.equal(new Set(bought).size, bought.length)
-  for (const name of bought) assert.ok(name.startsWith('first-') || world.wantedEver.has(name), `${name} was never wanted`)
+/** Asserts that no name was started twice and that every started name was wanted at some time. */
+function assertStartedOnce (world: PlannerWorld): void {
+  const started = world.cloud.bought().map((order) => order.name)
+  assert.equal(new Set(started).size, started.length)
+  for (const name of started) assert.ok(name.startsWith('first-') || world.everWanted.has(name), `${name} was never wanted`)
 }
--- a/test/planner/replacement.test.ts
+++ b/test/planner/replacement.test.ts
@@ -1,4 +1,4 @@
-/** Refused starts, the way home to cheaper capacity, and graceful drains. */
+/** Refused starts, the move back to cheaper capacity, and graceful drains. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { SECOND, MINUTE } from '../../src/clock.js'
@@ -7,105 +7,108 @@
 import type { PlannerWorld } from './harness.js'
 
 const ZONES = ['zone-a', 'zone-b', 'zone-c'].map((zone) => failureDomainSchema.parse(zone))
-const LOOK = 10 * SECOND
+const CYCLE_TIME = 10 * SECOND
 
-// After a reclaim wave every start is refused for an hour, and plans are late until somebody buys by
-// hand; or the dear machines bought in the wave are still there a month later.
-test('refused starts end on demand, and come home when the cheaper market opens again', async () => {
+// Failures guarded against: after a reclaim of many instances, reclaimable starts are refused and capacity stays short
+// because no other market is tried, or the more expensive instances are kept after the cheaper market is available
+// again.
+test('refused starts fall back to on-demand instances, and move back when the cheaper market is available again', async () => {
   const world = createPlannerWorld({ seed: 1, checksFencing: () => true, loadTime: 90 * SECOND })
-  await look(world, 15)
+  await runCycles(world, 15)
   for (const zone of ZONES) world.cloud.limit(offerIn(zone, 'reclaimable'), 0)
   world.cloud.reclaimDomain(ZONES[0]!, 2 * SECOND)
-  await look(world, 15)
-  assert.equal(count(world, 'on-demand'), 1)
-  assert.equal(count(world, 'reclaimable'), 2)
+  await runCycles(world, 15)
+  assert.equal(countInstances(world, 'on-demand'), 1)
+  assert.equal(countInstances(world, 'reclaimable'), 2)
   for (const zone of ZONES) world.cloud.limit(offerIn(zone, 'reclaimable'), undefined)
-  let fewest = Infinity
+  let minServing = Infinity
   for (let step = 0; step < 45 * 6; step += 1) {
-    await look(world, 1)
-    fewest = Math.min(fewest, serving(world))
+    await runCycles(world, 1)
+    minServing = Math.min(minServing, countServing(world))
   }
-  assert.equal(count(world, 'on-demand'), 0)
-  assert.equal(count(world, 'reclaimable'), 3)
-  assert.ok(fewest >= 3, `${fewest} engines that serve and stay, on the way home`)
+  assert.equal(countInstances(world, 'on-demand'), 0)
+  assert.equal(countInstances(world, 'reclaimable'), 3)
+  assert.ok(minServing >= 3, `only ${minServing} engines served without leaving during the move back`)
 })
 
-// The cloud's interface is called hundreds of times a minute in a shortage, and it bans the account.
-test('an offer that refuses is asked ever more rarely', async () => {
+// Failure guarded against: during a shortage, start orders are repeated hundreds of times a minute, and the cloud blocks
+// the account.
+test('an offer that refuses is tried less and less often', async () => {
   const world = createPlannerWorld({ seed: 1, checksFencing: () => true })
-  await look(world, 5)
+  await runCycles(world, 5)
   for (const zone of ZONES) for (const market of ['reclaimable', 'on-demand'] as const) world.cloud.limit(offerIn(zone, market), 0)
   world.cloud.reclaimDomain(ZONES[0]!, 2 * SECOND)
-  await look(world, 60)
-  const soon = world.starts.length
-  await look(world, 30 * 6)
-  assert.ok(world.starts.length - soon <= 12, `${world.starts.length - soon} starts in half an hour`)
+  await runCycles(world, 60)
+  const startsBefore = world.starts.length
+  await runCycles(world, 30 * 6)
+  assert.ok(world.starts.length - startsBefore <= 12, `${world.starts.length - startsBefore} starts in half an hour`)
 })
 
-// A plan breaks off in the middle: its engine's machine was given back as soon as it was not wanted.
-test('an instance that is given back has been marked for a while, and is empty or out of time', async () => {
+// Failure guarded against: an instance is released as soon as it is not wanted, and requests that run on it break off.
+test('a busy instance that is not wanted is marked as leaving and released at the end of the drain time', async () => {
   const world = createPlannerWorld({ seed: 1, checksFencing: () => true })
-  await look(world, 5)
+  await runCycles(world, 5)
   for (const zone of ZONES) world.cloud.limit(offerIn(zone, 'reclaimable'), 0)
   world.cloud.reclaimDomain(ZONES[0]!, 2 * SECOND)
-  await look(world, 6)
-  const dear = world.cloud.list('sample').find((instance) => instance.market === 'on-demand')!.name
-  world.setBusy(dear, true)
+  await runCycles(world, 6)
+  const expensive = world.cloud.list('sample').find((instance) => instance.market === 'on-demand')!.name
+  world.setBusy(expensive, true)
   for (const zone of ZONES) world.cloud.limit(offerIn(zone, 'reclaimable'), undefined)
-  let marked: number | undefined
-  let gone: number | undefined
-  for (let step = 0; step < 60 * 6 && gone === undefined; step += 1) {
-    await look(world, 1)
-    const slot = world.desired().slots.find((one) => one.name === dear)
-    if (marked === undefined && slot?.state === 'leaving') marked = world.clock.now()
-    if (!world.engines().has(dear)) gone = world.clock.now()
+  let markedAt: number | undefined
+  let goneAt: number | undefined
+  for (let step = 0; step < 60 * 6 && goneAt === undefined; step += 1) {
+    await runCycles(world, 1)
+    const slot = world.desired().slots.find((candidate) => candidate.name === expensive)
+    if (markedAt === undefined && slot?.state === 'leaving') markedAt = world.clock.now()
+    if (!world.engines().has(expensive)) goneAt = world.clock.now()
   }
-  assert.ok(marked !== undefined && gone !== undefined)
-  assert.ok(gone - marked >= 10 * MINUTE - LOOK && gone - marked <= 11 * MINUTE, `${gone - marked} ms`)
+  assert.ok(markedAt !== undefined && goneAt !== undefined)
+  assert.ok(goneAt - markedAt >= 10 * MINUTE - CYCLE_TIME && goneAt - markedAt <= 11 * MINUTE, `${goneAt - markedAt} ms`)
 })
 
-// One engine hangs for a day on a machine that the cloud calls live; or a broken path of the planner's
-// own makes all engines look dead, and the whole fleet is bought anew.
+// Failures guarded against: a hanging engine is never replaced because the cloud lists its instance as live, or the
+// planner's own connection is broken, all engines seem to be silent, and the whole fleet is replaced.
 test('an engine that is silent for long is replaced, a fleet that is silent is not', async () => {
-  const one = createPlannerWorld({ seed: 1, checksFencing: () => true })
-  await look(one, 5)
-  const hung = one.cloud.list('sample')[0]!.name
-  one.cutOff.add(hung)
-  await look(one, 6 * 20)
-  assert.ok(!one.engines().has(hung))
-  assert.equal(serving(one), 3)
+  const oneSilent = createPlannerWorld({ seed: 1, checksFencing: () => true })
+  await runCycles(oneSilent, 5)
+  const silent = oneSilent.cloud.list('sample')[0]!.name
+  oneSilent.unreachableInstances.add(silent)
+  await runCycles(oneSilent, 6 * 20)
+  assert.ok(!oneSilent.engines().has(silent))
+  assert.equal(countServing(oneSilent), 3)
 
-  const all = createPlannerWorld({ seed: 1, checksFencing: () => true })
-  await look(all, 5)
-  const names = all.cloud.list('sample').map((instance) => instance.name)
-  for (const name of names) all.cutOff.add(name)
-  await look(all, 6 * 20)
-  assert.deepEqual(all.cloud.list('sample').map((instance) => instance.name), names)
+  const allSilent = createPlannerWorld({ seed: 1, checksFencing: () => true })
+  await runCycles(allSilent, 5)
+  const names = allSilent.cloud.list('sample').map((instance) => instance.name)
+  for (const name of names) allSilent.unreachableInstances.add(name)
+  await runCycles(allSilent, 6 * 20)
+  assert.deepEqual(allSilent.cloud.list('sample').map((instance) => instance.name), names)
 })
 
-// Prices twitch every few minutes, and the fleet follows: machines start, load weights and drain all
-// day, and the bill is higher than without any of it.
-test('prices that twitch move nothing', async () => {
+// Failure guarded against: the fleet follows prices that fluctuate every few minutes. Instances are started, loaded and
+// drained all the time, and the cost is higher than without any change.
+test('fluctuating prices do not change the fleet', async () => {
   const world = createPlannerWorld({ seed: 1, checksFencing: () => true })
-  await look(world, 5)
+  await runCycles(world, 5)
   const bought = world.cloud.bought().length
   for (let step = 0; step < 24; step += 1) {
     world.cloud.setOffers(world.cloud.offers().map((offer, index) => ({ ...offer, pricePerHour: offer.pricePerHour * ((step + index) % 2 === 0 ? 1.4 : 1 / 1.4) })))
-    await look(world, 30)
+    await runCycles(world, 30)
   }
   assert.equal(world.cloud.bought().length, bought)
 })
 
-async function look (world: PlannerWorld, looks: number): Promise<void> {
-  for (let number = 0; number < looks; number += 1) {
+/** Runs planning cycles of the first planner. */
+async function runCycles (world: PlannerWorld, cycles: number): Promise<void> {
+  for (let number = 0; number < cycles; number += 1) {
     world.planners[0]?.takeLease()
     world.planners[0]?.start()
-    await world.clock.advance(LOOK)
+    await world.clock.advance(CYCLE_TIME)
   }
 }
 
-/** Engines that have their model and are not marked as leaving. */
-function serving (world: PlannerWorld): number {
+/** Number of engines that have a model loaded and are not marked as leaving. */
+function countServing (world: PlannerWorld): number {
   const staying = world.desired().slots.filter((slot) => slot.state === 'wanted').map((slot) => slot.name)
   return staying.filter((name) => (world.engines().get(name)?.state.models().length ?? 0) > 0).length
 }
@@ -114,6 +117,6 @@
   return { failureDomain, machineClass: 'large', market }
 }
 
-function count (world: PlannerWorld, market: string): number {
+function countInstances (world: PlannerWorld, market: string): number {
   return world.cloud.list('sample').filter((instance) => instance.market === market).length
 }
--- a/test/planner/report-folder.test.ts
+++ b/test/planner/report-folder.test.ts
@@ -1,4 +1,4 @@
-/** Reports of nodes that are gone, or thought gone, are counted exactly once. */
+/** Reports of nodes that are gone, or taken for gone, are counted exactly once. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
@@ -16,14 +16,16 @@
 
 const OUTCOMES = [SERVED, LATE, LOST, UNKNOWN]
 
-/** Longer than any node is given before it is given up. */
-const LONG_SILENCE = 20 * MINUTE
+/** Longer than the silence after which the report of a node is given up. */
+const BEYOND_SILENCE_LIMIT = 20 * MINUTE
 
+/** Result of a call to the key-value store. */
 type Fate = 'answer' | 'lose-reply' | 'refuse'
 
+/** Connection of one process to the store, with injected faults. */
 interface Connection {
   readonly keyValue: KeyValue
-  /** Fates of the next calls; further ones are answered. */
+  /** Results of the next calls. Further calls are answered. */
   fates: Fate[]
   /** Waits before each call takes effect and before each reply arrives. */
   pause: () => Promise<void>
@@ -49,24 +51,25 @@
   return Object.assign(connection, { keyValue: keyValue as KeyValue })
 }
 
+/** Actual numbers of requests, as counted by the test. */
 interface Truth {
   asked: number
   readonly ended: Record<'served' | 'late' | 'lost' | 'unknown', number>
 }
 
-/** What the reports say equals what happened. */
-function assertTrue (sums: RequestSums, truth: Truth): void {
+/** Asserts that the reported sums equal the actual numbers. */
+function assertMatches (sums: RequestSums, truth: Truth): void {
   const { served, late, lost, unknown } = sums
   assert.deepEqual({ asked: sums.asked, served, late, lost, unknown }, { asked: truth.asked, ...truth.ended })
 }
 
-function createLife () {
+function createFixture () {
   const clock = createStillClock()
   const store = createKeyValueStore(clock)
   const truth: Truth = { asked: 0, ended: { served: 0, late: 0, lost: 0, unknown: 0 } }
   let count = 0
 
-  /** Accepts a few requests at one node and ends some of them there, or at another one. */
+  /** Accepts requests at one node and ends most of them, some at another node after a hand-over. */
   function work (node: CountingNode, other: CountingNode | undefined, requests: number): void {
     for (let index = 0; index < requests; index += 1) {
       count += 1
@@ -88,8 +91,8 @@
   return { clock, store, truth, work }
 }
 
-/** Every node that lives writes, and folders pass until nothing is left to fold. */
-async function settle (nodes: readonly CountingNode[], store: KeyValueStore, clock: StillClock): Promise<void> {
+/** Lets every given node write and a folder run a pass, until nothing is left to fold. */
+async function settleReports (nodes: readonly CountingNode[], store: KeyValueStore, clock: StillClock): Promise<void> {
   const folder = createFolder(connect(store).keyValue, clock)
   for (let round = 0; round < 3; round += 1) {
     for (const node of nodes) await node.keeper.write()
@@ -97,46 +100,46 @@
   }
 }
 
-test('whatever the order of writes, folds and lost replies, a node given up although it lives is counted once', async () => {
-  // A user would see a class with more answers than questions. A node is cut off for long, two
-  // planners each believe they hold the lease and fold its report at once, replies are lost, and
-  // the node comes back in the middle of it and writes on.
+test('with any order of writes, folds and lost replies, a live node whose report was given up is counted once', async () => {
+  // Failure guarded against: the report shows more answers than requests. A node is partitioned for long, two planners
+  // that each believe they hold the lease fold its report concurrently, replies are lost, and meanwhile the node
+  // returns and continues to write.
   const fate = fc.constantFrom<Fate>('answer', 'answer', 'answer', 'lose-reply', 'refuse')
   const fates = fc.array(fate, { maxLength: 40 })
-  await fc.assert(fc.asyncProperty(fc.scheduler(), fc.record({ node: fates, one: fates, two: fates }), fc.boolean(), fc.nat(40), async (scheduler, lost, hourTurns, delay) => {
-    const { clock, store, truth, work } = createLife()
+  await fc.assert(fc.asyncProperty(fc.scheduler(), fc.record({ node: fates, one: fates, two: fates }), fc.boolean(), fc.nat(40), async (scheduler, lost, crossesHour, delay) => {
+    const { clock, store, truth, work } = createFixture()
     const own = connect(store)
-    const cutOff = createCountingNode('entry-1', own.keyValue, clock)
+    const partitioned = createCountingNode('entry-1', own.keyValue, clock)
     const other = createCountingNode('entry-2', connect(store).keyValue, clock)
     const connections = [connect(store), connect(store)]
     const folders = connections.map((connection) => createFolder(connection.keyValue, clock))
-    work(cutOff, other, 10)
-    await cutOff.keeper.write()
+    work(partitioned, other, 10)
+    await partitioned.keeper.write()
     await other.keeper.write()
     for (const fold of folders) await fold()
-    work(cutOff, other, 10)
-    await clock.advance(hourTurns ? HOUR : LONG_SILENCE)
+    work(partitioned, other, 10)
+    await clock.advance(crossesHour ? HOUR : BEYOND_SILENCE_LIMIT)
 
     const all = [own, ...connections]
     all.forEach((connection, index) => {
       connection.fates = [lost.node, lost.one, lost.two][index]!
       connection.pause = () => scheduler.schedule(Promise.resolve())
     })
-    const comeBack = async (): Promise<void> => {
+    const returnNode = async (): Promise<void> => {
       for (let step = 0; step < delay; step += 1) await own.pause()
       for (let round = 0; round < 4; round += 1) {
-        await cutOff.keeper.write().catch(() => {})
-        work(cutOff, other, 3)
+        await partitioned.keeper.write().catch(() => {})
+        work(partitioned, other, 3)
       }
     }
-    const tasks = [...folders, comeBack].map((task) => task().then(() => {}, () => {}))
+    const tasks = [...folders, returnNode].map((task) => task().then(() => {}, () => {}))
     await scheduler.waitFor(Promise.all(tasks))
 
     for (const connection of all) Object.assign(connection, { fates: [], pause: () => Promise.resolve() })
-    work(cutOff, other, 10)
-    await settle([cutOff, other], store, clock)
+    work(partitioned, other, 10)
+    await settleReports([partitioned, other], store, clock)
     const report = reportOf(store, clock)
-    assertTrue(report.total.sums, truth)
+    assertMatches(report.total.sums, truth)
     assert.equal(report.total.sums.unreported, 0)
     assert.deepEqual(report.gaps, [])
     assertSumsAgree(report)
@@ -153,9 +156,9 @@
 
 type Command = typeof commandArbitrary extends fc.Arbitrary<infer Value> ? Value : never
 
-/** Nodes hand requests to each other and die at any moment, before or after either has reported it. */
+/** Runs commands in which nodes hand requests over to each other and crash before or after reporting the hand-over. */
 async function assertLives (commands: readonly Command[]): Promise<void> {
-  const { clock, store, truth, work } = createLife()
+  const { clock, store, truth, work } = createFixture()
   const connections = [0, 1, 2].map(() => connect(store))
   const nodes = connections.map((connection, index) => createCountingNode(`entry-${index}`, connection.keyValue, clock))
   const folding = [0, 1].map(() => connect(store))
@@ -187,55 +190,55 @@
     }
     const report = reportOf(store, clock)
     assertSumsAgree(report)
-    assertWithin(report.total.sums, truth)
+    assertNotAbove(report.total.sums, truth)
   }
 
   const reported = reportedIncarnations(store, nodes)
   for (const connection of [...connections, ...folding]) connection.fates = []
-  await settle(live(), store, clock)
-  await clock.advance(LONG_SILENCE)
+  await settleReports(live(), store, clock)
+  await clock.advance(BEYOND_SILENCE_LIMIT)
   for (let pass = 0; pass < 2; pass += 1) {
     await folders[0]!()
-    await clock.advance(LONG_SILENCE)
+    await clock.advance(BEYOND_SILENCE_LIMIT)
   }
-  await settle(live(), store, clock)
+  await settleReports(live(), store, clock)
   const report = reportOf(store, clock)
   assertSumsAgree(report)
-  assertWithin(report.total.sums, truth)
-  if (crashed.size === 0) assertTrue(report.total.sums, truth)
+  assertNotAbove(report.total.sums, truth)
+  if (crashed.size === 0) assertMatches(report.total.sums, truth)
   const missing = new Set(report.gaps.map((gap) => gap.incarnation))
   for (const index of crashed) assert.equal(missing.has(nodes[index]!.incarnation), reported.has(nodes[index]!.incarnation))
 }
 
 test('over lives of nodes with crashes, sums always agree, nothing is counted twice and a crash shows as a gap', async () => {
-  // A user would see requests that vanish from the report, or one that is served twice in it.
+  // Failure guarded against: requests are missing from the report or counted twice.
   await fc.assert(fc.asyncProperty(fc.array(commandArbitrary, { maxLength: 60 }), assertLives), { seed: 1, numRuns: 150, endOnFailure: true })
 })
 
-// Guards against a crash that shows as no gap, over lists of commands of their full length.
+// Failure guarded against: a crash does not show as a gap. Runs command lists of the maximum length.
 test('over long lives of nodes with crashes, sums always agree and a crash shows as a gap', async () => {
   await fc.assert(fc.asyncProperty(fc.array(commandArbitrary, { maxLength: 60, size: 'max' }), assertLives), { seed: 1, numRuns: 150, endOnFailure: true })
 })
 
-/** A crash may hide counts, never add to them. */
-function assertWithin (sums: RequestSums, truth: Truth): void {
+/** Asserts that the reported sums do not exceed the actual numbers. A crash may hide counts but never adds any. */
+function assertNotAbove (sums: RequestSums, truth: Truth): void {
   assert.ok(sums.asked <= truth.asked, `asked ${sums.asked} of ${truth.asked}`)
   for (const kind of ['served', 'late', 'lost'] as const) assert.ok(sums[kind] <= truth.ended[kind], `${kind} ${sums[kind]} of ${truth.ended[kind]}`)
 }
 
-/** Nodes that have ever got a report through, as the store or the totals show. */
+/** Nodes of which a report has reached the store, according to the stored reports and totals. */
 function reportedIncarnations (store: KeyValueStore, nodes: readonly CountingNode[]): ReadonlySet<string> {
   const { entries } = store.list('hornbeamgap/reports/', 'hornbeamgap/reports0')
   return new Set(nodes.map((node) => node.incarnation).filter((incarnation) => entries.some((entry) => entry.value.includes(`${incarnation}`))))
 }
 
-test('a folder that dies at any step neither loses nor doubles what a dead node reported', async () => {
-  // A user would see a dead node's answers vanish from the report, or appear twice. The folder dies
-  // between closing, adding and deleting, or right after a write whose reply it never saw; another one
-  // takes over. The report is read at each of these moments.
+test('a folder that crashes at any step neither loses nor doubles the report of a crashed node', async () => {
+  // Failure guarded against: answers of a crashed node are missing from the report or counted twice. The folder crashes
+  // between closing, adding and deleting, or after a write whose reply is lost, and another folder takes over. The
+  // report is read after each of these crashes.
   for (const fate of ['refuse', 'lose-reply'] as const) {
     for (let step = 0; step < 40; step += 1) {
-      const { clock, store, truth, work } = createLife()
+      const { clock, store, truth, work } = createFixture()
       const node = createCountingNode('entry-1', connect(store).keyValue, clock)
       work(node, undefined, 12)
       await node.keeper.write()
@@ -243,25 +246,25 @@
       const dying = connect(store)
       const fold = createFolder(dying.keyValue, clock)
       await fold()
-      await clock.advance(LONG_SILENCE)
+      await clock.advance(BEYOND_SILENCE_LIMIT)
       dying.fates = [...Array<Fate>(step).fill('answer'), fate]
       await fold().catch(() => {})
-      assertTrue({ ...reportOf(store, clock).total.sums, unknown: truth.ended.unknown }, truth)
+      assertMatches({ ...reportOf(store, clock).total.sums, unknown: truth.ended.unknown }, truth)
       const successor = createFolder(connect(store).keyValue, clock)
       await successor()
-      await clock.advance(LONG_SILENCE)
+      await clock.advance(BEYOND_SILENCE_LIMIT)
       await successor()
       const report = reportOf(store, clock)
-      assertTrue({ ...report.total.sums, unknown: report.total.sums.unknown - 2 }, truth)
+      assertMatches({ ...report.total.sums, unknown: report.total.sums.unknown - 2 }, truth)
       assert.equal(report.gaps.length, 1)
       assert.equal(store.list('hornbeamgap/reports/nodes/', 'hornbeamgap/reports/nodes0').entries.length, 0)
     }
   }
 })
 
-test('a planned stop leaves no gap, and what was open then is reported as unknown', async () => {
-  // A user would see a gap in the report after each restart, and a request that stays open for ever.
-  const { clock, store } = createLife()
+test('a planned stop leaves no gap, and requests open at the stop are reported as unknown', async () => {
+  // Failure guarded against: each restart leaves a gap in the report, and a request that stays open for ever.
+  const { clock, store } = createFixture()
   const node = createCountingNode('entry-1', connect(store).keyValue, clock)
   node.end(node.accept(1), SERVED)
   node.accept(2)
@@ -273,10 +276,10 @@
   assert.equal(store.list('hornbeamgap/reports/nodes/', 'hornbeamgap/reports/nodes0').entries.length, 0)
 })
 
-test('in a large fleet a node that dies is given up before all reports have been read', async () => {
-  // An operator would read of a gap of more than an hour after a death: a pass reads only a part of a
-  // large fleet's reports, and a silent report had to be met twice.
-  const { clock, store, work } = createLife()
+test('in a large fleet the report of a crashed node is given up before all reports have been read', async () => {
+  // Failure guarded against: the gap of a crashed node is reported more than an hour late. A pass reads only some of a
+  // large fleet's reports, and a report must be read twice to be recognised as silent.
+  const { clock, store, work } = createFixture()
   const node = createCountingNode('entry-1', connect(store).keyValue, clock)
   const record = `${NODE_PREFIX}${node.incarnation}`
   store.put(record, JSON.stringify({ incarnation: node.incarnation }))
@@ -297,31 +300,31 @@
   assert.equal(totals.flatMap((entry) => decodeTotal(entry.value)!.gaps).length, 1)
 })
 
-test('what a node noted of a dead one outlives its own end, and adds nothing to the sums', async () => {
-  // A manager would read of a gap and not learn whose bookings were in it: the node that kept the notes
-  // stopped as planned soon after.
-  const { clock, store } = createLife()
+test('a node\'s notes on a crashed node remain after its own stop, and add nothing to the sums', async () => {
+  // Failure guarded against: a gap is reported without the organisations whose requests were in it, because the node
+  // that kept the notes has stopped as planned soon after the crash.
+  const { clock, store } = createFixture()
   const dead = createCountingNode('entry-1', connect(store).keyValue, clock)
-  const noting = createCountingNode('entry-2', connect(store).keyValue, clock)
+  const survivor = createCountingNode('entry-2', connect(store).keyValue, clock)
   const { class: requestClass, organisation } = dead.accept(3)
   await dead.keeper.write()
   dead.crash()
-  noting.ledger.died({ incarnation: dead.incarnation, rows: [{ class: requestClass, organisation, resumed: 0, lost: 0, unknown: 1 }] })
-  await noting.keeper.finish(new AbortController().signal)
+  survivor.ledger.died({ incarnation: dead.incarnation, rows: [{ class: requestClass, organisation, resumed: 0, lost: 0, unknown: 1 }] })
+  await survivor.keeper.finish(new AbortController().signal)
   const fold = createFolder(connect(store).keyValue, clock)
   await fold()
-  await clock.advance(LONG_SILENCE)
+  await clock.advance(BEYOND_SILENCE_LIMIT)
   await fold()
   const { gaps, total } = reportOf(store, clock)
   assert.deepEqual(gaps.map((gap) => gap.noted), [[{ class: requestClass, organisation, resumed: 0, lost: 0, unknown: 1 }]])
   assert.deepEqual([total.sums.asked, total.sums.unknown], [1, 1])
 })
 
-test('a hand-over whose giver dies before it reports again counts once, at the taker', async () => {
-  // A user would see a request both served and unknown: its node reported it as open, handed it to
-  // another node on a reclaim and died before its next report. One more was accepted and handed over
-  // after the last report, so only the taker knows of it; a third is open at the taker.
-  const { clock, store } = createLife()
+test('a hand-over whose giver crashes before its next report counts once, at the taker', async () => {
+  // Failure guarded against: a request is counted as served and as unknown. The giver reports the request as open, hands
+  // it over on a reclaim and crashes before its next report. A second request is accepted and handed over after the
+  // last report, so only the taker knows of it. A third one is open at the taker.
+  const { clock, store } = createFixture()
   const giver = createCountingNode('entry-1', connect(store).keyValue, clock)
   const taker = createCountingNode('entry-2', connect(store).keyValue, clock)
   const fold = createFolder(connect(store).keyValue, clock)
@@ -337,10 +340,10 @@
   taker.end(unreported, SERVED)
   await taker.keeper.write()
   await fold()
-  await clock.advance(LONG_SILENCE)
+  await clock.advance(BEYOND_SILENCE_LIMIT)
   await taker.keeper.write()
   await fold()
-  // The sum cannot tell yet whether the open one or the unreported one is missing; it can at the end.
+  // The sums do not show yet whether the open or the unreported request is missing. They do once no request is open.
   const early = reportOf(store, clock).total.sums
   assert.deepEqual([early.asked, early.served, early.unknown], [2, 2, 0])
   taker.end(own, LATE)
@@ -349,10 +352,10 @@
   assert.deepEqual({ asked, served, late, unknown, open, proven }, { asked: 3, served: 2, late: 1, unknown: 0, open: 0, proven: 1 })
 })
 
-test('a request handed over by a node that dies is not unknown while others are open', async () => {
-  // A user would see an unknown outcome for a request that was answered: its node died with a report
-  // in which it is open, and another request is open elsewhere at that moment.
-  const { clock, store } = createLife()
+test('a request handed over by a node that crashes is not unknown while others are open', async () => {
+  // Failure guarded against: an answered request is reported as unknown. The last report of its crashed node shows the
+  // request as open, and another request is open at another node at the same time.
+  const { clock, store } = createFixture()
   const giver = createCountingNode('entry-1', connect(store).keyValue, clock)
   const taker = createCountingNode('entry-2', connect(store).keyValue, clock)
   const fold = createFolder(connect(store).keyValue, clock)
@@ -363,7 +366,7 @@
   taker.end(request, SERVED)
   taker.accept(8)
   await fold()
-  await clock.advance(LONG_SILENCE)
+  await clock.advance(BEYOND_SILENCE_LIMIT)
   await taker.keeper.write()
   await fold()
   const { asked, served, unknown, open } = reportOf(store, clock).total.sums
@@ -371,7 +374,7 @@
 })
 
 test('totals older than the retention are deleted', async () => {
-  const { clock, store, work } = createLife()
+  const { clock, store, work } = createFixture()
   const node = createCountingNode('entry-1', connect(store).keyValue, clock)
   work(node, undefined, 10)
   await node.keeper.finish(new AbortController().signal)
@@ -384,8 +387,8 @@
   assert.equal(totals(), 0)
 })
 
-test('an epoch is closed in the first write after its hour, so that totals of past hours grow complete', async () => {
-  const { clock, store } = createLife()
+test('an epoch is closed in the first write after its hour, so that totals of past hours become complete', async () => {
+  const { clock, store } = createFixture()
   const node = createCountingNode('entry-1', connect(store).keyValue, clock)
   const request = node.accept(2)
   await node.keeper.write()
--- a/test/report/fleet.ts
+++ b/test/report/fleet.ts
@@ -6,7 +6,7 @@
 import type { Incarnation } from '../../src/identifiers.js'
 import { createLog } from '../../src/log.js'
 import type { KeyValue } from '../../src/protocols/key-value.js'
-import { createFoldMemory, foldGone } from '../../src/planner/report-folder.js'
+import { createFoldMemory, foldReports } from '../../src/planner/report-folder.js'
 import { createRandom } from '../../src/random.js'
 import { agrees, createLedger, createReportSummary, decodeSnapshot, decodeTotal, periodOf } from '../../src/report/index.js'
 import type { CountingLedger, ReportDocument } from '../../src/report/index.js'
@@ -90,7 +90,7 @@
 /** A folder that remembers between its passes. */
 export function createFolder (keyValue: KeyValue, clock: StillClock) {
   const memory = createFoldMemory()
-  return () => foldGone({ keyValue, clock, log: silentLog, memory }, new AbortController().signal)
+  return () => foldReports({ keyValue, clock, log: silentLog, memory }, new AbortController().signal)
 }
 
 /** Accepted plus refused equals the sum of the outcomes, in every line of a report. */
