--- a/test/planner/report-folder.test.ts
+++ b/test/planner/report-folder.test.ts
@@ -11,8 +11,8 @@
 import { ServingError } from '../../src/verdict.js'
 import { createKeyValueStore } from '../../stand-ins/key-value-store.js'
 import type { KeyValueStore } from '../../stand-ins/key-value-store.js'
-import { assertSumsAgree, createCountingNode, createFolder, createStillClock, LATE, LOST, reportOf, SERVED, START, UNKNOWN } from '../report/fleet.js'
-import type { CountingNode, StillClock } from '../report/fleet.js'
+import { assertSumsAgree, createCountingNode, createReportFolder, createFrozenClock, LATE, LOST, reportOf, SERVED, START, UNKNOWN } from '../report/fleet.js'
+import type { CountingNode, FrozenClock } from '../report/fleet.js'
 
 const OUTCOMES = [SERVED, LATE, LOST, UNKNOWN]
 
@@ -64,7 +64,7 @@
 }
 
 function createFixture () {
-  const clock = createStillClock()
+  const clock = createFrozenClock()
   const store = createKeyValueStore(clock)
   const truth: Truth = { asked: 0, ended: { served: 0, late: 0, lost: 0, unknown: 0 } }
   let count = 0
@@ -92,10 +92,10 @@
 }
 
 /** Lets every given node write and a folder run a pass, until nothing is left to fold. */
-async function settleReports (nodes: readonly CountingNode[], store: KeyValueStore, clock: StillClock): Promise<void> {
-  const folder = createFolder(connect(store).keyValue, clock)
+async function settleReports (nodes: readonly CountingNode[], store: KeyValueStore, clock: FrozenClock): Promise<void> {
+  const folder = createReportFolder(connect(store).keyValue, clock)
   for (let round = 0; round < 3; round += 1) {
-    for (const node of nodes) await node.keeper.write()
+    for (const node of nodes) await node.reporter.write()
     await folder()
   }
 }
@@ -112,10 +112,10 @@
     const partitioned = createCountingNode('entry-1', own.keyValue, clock)
     const other = createCountingNode('entry-2', connect(store).keyValue, clock)
     const connections = [connect(store), connect(store)]
-    const folders = connections.map((connection) => createFolder(connection.keyValue, clock))
+    const folders = connections.map((connection) => createReportFolder(connection.keyValue, clock))
     work(partitioned, other, 10)
-    await partitioned.keeper.write()
-    await other.keeper.write()
+    await partitioned.reporter.write()
+    await other.reporter.write()
     for (const fold of folders) await fold()
     work(partitioned, other, 10)
     await clock.advance(crossesHour ? HOUR : BEYOND_SILENCE_LIMIT)
@@ -128,7 +128,7 @@
     const returnNode = async (): Promise<void> => {
       for (let step = 0; step < delay; step += 1) await own.pause()
       for (let round = 0; round < 4; round += 1) {
-        await partitioned.keeper.write().catch(() => {})
+        await partitioned.reporter.write().catch(() => {})
         work(partitioned, other, 3)
       }
     }
@@ -162,7 +162,7 @@
   const connections = [0, 1, 2].map(() => connect(store))
   const nodes = connections.map((connection, index) => createCountingNode(`entry-${index}`, connection.keyValue, clock))
   const folding = [0, 1].map(() => connect(store))
-  const folders = folding.map((connection) => createFolder(connection.keyValue, clock))
+  const folders = folding.map((connection) => createReportFolder(connection.keyValue, clock))
   const crashed = new Set<number>()
   const live = (): CountingNode[] => nodes.filter((_, index) => !crashed.has(index))
 
@@ -175,7 +175,7 @@
       }
       case 'write':
         connections[command.node]!.fates = [...command.fates]
-        if (!crashed.has(command.node)) await nodes[command.node]!.keeper.write().catch(() => {})
+        if (!crashed.has(command.node)) await nodes[command.node]!.reporter.write().catch(() => {})
         break
       case 'fold':
         folding[command.folder]!.fates = [...command.fates]
@@ -241,16 +241,16 @@
       const { clock, store, truth, work } = createFixture()
       const node = createCountingNode('entry-1', connect(store).keyValue, clock)
       work(node, undefined, 12)
-      await node.keeper.write()
+      await node.reporter.write()
       node.crash()
       const dying = connect(store)
-      const fold = createFolder(dying.keyValue, clock)
+      const fold = createReportFolder(dying.keyValue, clock)
       await fold()
       await clock.advance(BEYOND_SILENCE_LIMIT)
       dying.fates = [...Array<Fate>(step).fill('answer'), fate]
       await fold().catch(() => {})
       assertMatches({ ...reportOf(store, clock).total.sums, unknown: truth.ended.unknown }, truth)
-      const successor = createFolder(connect(store).keyValue, clock)
+      const successor = createReportFolder(connect(store).keyValue, clock)
       await successor()
       await clock.advance(BEYOND_SILENCE_LIMIT)
       await successor()
@@ -268,8 +268,8 @@
   const node = createCountingNode('entry-1', connect(store).keyValue, clock)
   node.end(node.accept(1), SERVED)
   node.accept(2)
-  assert.equal(await node.keeper.finish(new AbortController().signal), true)
-  await createFolder(connect(store).keyValue, clock)()
+  assert.equal(await node.reporter.finish(new AbortController().signal), true)
+  await createReportFolder(connect(store).keyValue, clock)()
   const report = reportOf(store, clock)
   assert.deepEqual(report.gaps, [])
   assert.deepEqual([report.total.sums.served, report.total.sums.unknown, report.total.sums.open], [1, 1, 0])
@@ -284,11 +284,11 @@
   const record = `${NODE_PREFIX}${node.incarnation}`
   store.put(record, JSON.stringify({ incarnation: node.incarnation }))
   work(node, undefined, 5)
-  await node.keeper.write()
+  await node.reporter.write()
   node.crash()
   const large = JSON.stringify({ note: 'not a report, and larger than what a pass reads'.padEnd(300_000) })
   for (let shard = 0; shard < SHARDS; shard += 1) store.put(`${shardPrefix(shard)}zzz`, large)
-  const fold = createFolder(connect(store).keyValue, clock)
+  const fold = createReportFolder(connect(store).keyValue, clock)
   await fold()
   store.compareAndDelete(record, store.get(record)!.revision)
   const passes = 8
@@ -307,11 +307,11 @@
   const dead = createCountingNode('entry-1', connect(store).keyValue, clock)
   const survivor = createCountingNode('entry-2', connect(store).keyValue, clock)
   const { class: requestClass, organisation } = dead.accept(3)
-  await dead.keeper.write()
+  await dead.reporter.write()
   dead.crash()
-  survivor.ledger.died({ incarnation: dead.incarnation, rows: [{ class: requestClass, organisation, resumed: 0, lost: 0, unknown: 1 }] })
-  await survivor.keeper.finish(new AbortController().signal)
-  const fold = createFolder(connect(store).keyValue, clock)
+  survivor.ledger.nodeDied({ incarnation: dead.incarnation, rows: [{ class: requestClass, organisation, resumed: 0, lost: 0, unknown: 1 }] })
+  await survivor.reporter.finish(new AbortController().signal)
+  const fold = createReportFolder(connect(store).keyValue, clock)
   await fold()
   await clock.advance(BEYOND_SILENCE_LIMIT)
   await fold()
@@ -327,9 +327,9 @@
   const { clock, store } = createFixture()
   const giver = createCountingNode('entry-1', connect(store).keyValue, clock)
   const taker = createCountingNode('entry-2', connect(store).keyValue, clock)
-  const fold = createFolder(connect(store).keyValue, clock)
+  const fold = createReportFolder(connect(store).keyValue, clock)
   const [reported, own] = [giver.accept(2), taker.accept(4)]
-  await giver.keeper.write()
+  await giver.reporter.write()
   const unreported = giver.accept(8)
   for (const request of [reported, unreported]) {
     giver.ledger.handedOver(request)
@@ -338,16 +338,16 @@
   giver.crash()
   taker.end(reported, SERVED)
   taker.end(unreported, SERVED)
-  await taker.keeper.write()
+  await taker.reporter.write()
   await fold()
   await clock.advance(BEYOND_SILENCE_LIMIT)
-  await taker.keeper.write()
+  await taker.reporter.write()
   await fold()
   // The sums do not show yet whether the open or the unreported request is missing. They do once no request is open.
   const early = reportOf(store, clock).total.sums
   assert.deepEqual([early.asked, early.served, early.unknown], [2, 2, 0])
   taker.end(own, LATE)
-  await taker.keeper.write()
+  await taker.reporter.write()
   const { asked, served, late, unknown, open, unreported: proven } = reportOf(store, clock).total.sums
   assert.deepEqual({ asked, served, late, unknown, open, proven }, { asked: 3, served: 2, late: 1, unknown: 0, open: 0, proven: 1 })
 })
@@ -358,16 +358,16 @@
   const { clock, store } = createFixture()
   const giver = createCountingNode('entry-1', connect(store).keyValue, clock)
   const taker = createCountingNode('entry-2', connect(store).keyValue, clock)
-  const fold = createFolder(connect(store).keyValue, clock)
+  const fold = createReportFolder(connect(store).keyValue, clock)
   const request = giver.accept(2)
-  await giver.keeper.write()
+  await giver.reporter.write()
   giver.crash()
   taker.ledger.takenOver(request, clock.wall())
   taker.end(request, SERVED)
   taker.accept(8)
   await fold()
   await clock.advance(BEYOND_SILENCE_LIMIT)
-  await taker.keeper.write()
+  await taker.reporter.write()
   await fold()
   const { asked, served, unknown, open } = reportOf(store, clock).total.sums
   assert.deepEqual({ asked, served, unknown, open }, { asked: 2, served: 1, unknown: 0, open: 1 })
@@ -377,8 +377,8 @@
   const { clock, store, work } = createFixture()
   const node = createCountingNode('entry-1', connect(store).keyValue, clock)
   work(node, undefined, 10)
-  await node.keeper.finish(new AbortController().signal)
-  const fold = createFolder(connect(store).keyValue, clock)
+  await node.reporter.finish(new AbortController().signal)
+  const fold = createReportFolder(connect(store).keyValue, clock)
   await fold()
   const totals = (): number => store.list('hornbeamgap/reports/totals/', 'hornbeamgap/reports/totals0').entries.length
   assert.notEqual(totals(), 0)
@@ -391,11 +391,11 @@
   const { clock, store } = createFixture()
   const node = createCountingNode('entry-1', connect(store).keyValue, clock)
   const request = node.accept(2)
-  await node.keeper.write()
+  await node.reporter.write()
   await clock.advance(HOUR)
-  await node.keeper.write()
+  await node.reporter.write()
   node.end(request, SERVED)
-  await node.keeper.write()
+  await node.reporter.write()
   const states = store.list('hornbeamgap/reports/nodes/', 'hornbeamgap/reports/nodes0').entries.map((entry) => decodeSnapshot(entry.value)?.state.kind)
   assert.deepEqual(states, ['closed', 'counting'])
   const report = reportOf(store, clock)
--- a/test/protocols.test.ts
+++ b/test/protocols.test.ts
@@ -1,4 +1,4 @@
-/** The examples of docs/PROTOCOLS.md, sent to a deployment as they stand there. */
+/** The examples in docs/PROTOCOLS.md are sent to a deployment, and the answers are compared with the documentation. */
 import assert from 'node:assert/strict'
 import { readFileSync } from 'node:fs'
 import { after, before, test } from 'node:test'
@@ -7,12 +7,14 @@
 import { startDeployment } from '../stand-ins/deployment.js'
 import type { Deployment } from '../stand-ins/deployment.js'
 
+/** A documented request, and the lines that its answer must contain. */
 interface Example {
   readonly sent: string
   readonly expected: readonly string[]
 }
 
-const FEWEST_EXAMPLES = 10
+/** Minimum number of examples that must be found, so that a changed format of the page fails the test. */
+const MIN_EXAMPLES = 10
 
 const clock = createSystemClock()
 let deployment: Deployment
@@ -23,15 +25,15 @@
 
 after(() => deployment.kill())
 
-test('every example of the protocols\' page is answered as it says', async () => {
+test('every example in the protocol documentation is answered as documented', async () => {
   const examples = readExamples()
-  assert.ok(examples.length >= FEWEST_EXAMPLES)
+  assert.ok(examples.length >= MIN_EXAMPLES)
   for (const example of examples) {
-    const response = await send(fill(example.sent))
-    const [status, ...lines] = example.expected.map(fill)
+    const response = await send(fillPlaceholders(example.sent))
+    const [status, ...lines] = example.expected.map(fillPlaceholders)
     assert.equal(response.split('\n')[0], status, example.sent)
     for (const line of lines) {
-      assert.ok(occurs(line, response), `${line}\nis not in the answer to\n${example.sent}\n${response}`)
+      assert.ok(matchesPattern(line, response), `${line}\nis not in the answer to\n${example.sent}\n${response}`)
     }
   }
 })
@@ -44,13 +46,15 @@
   }))
 }
 
-function fill (text: string): string {
+/** Replaces placeholders by the values of the deployment. */
+function fillPlaceholders (text: string): string {
   return text
     .replaceAll('{key}', deployment.key)
     .replaceAll('{otherKey}', deployment.otherKey)
     .replaceAll('{incarnation}', deployment.entries[0]!.incarnation)
 }
 
+/** Sends a request and returns the status, the headers and the body of the response. */
 async function send (text: string): Promise<string> {
   const [head, body] = text.split('\n\n')
   const [start, ...lines] = (head as string).split('\n')
@@ -61,7 +65,8 @@
   return [response.statusCode, ...responseHead, await response.body.text()].join('\n')
 }
 
-function occurs (line: string, response: string): boolean {
+/** Whether the response contains the line. An ellipsis in the line stands for any text. */
+function matchesPattern (line: string, response: string): boolean {
   const parts = line.split('…').map((part) => part.replace(/[.*+?^${}()|[\]\\]/g, '\\$&'))
   return new RegExp(parts.join('.*')).test(response)
 }
--- a/test/repeat.test.ts
+++ b/test/repeat.test.ts
@@ -1,15 +1,12 @@
-/** Periodic tasks: what an outage looks like in the log. */
+/** Logging of periodic tasks during an outage. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { createLog } from '../src/log.js'
 import { repeat } from '../src/repeat.js'
 import { createManualClock } from '../stand-ins/manual-clock.js'
 
-/*
- * The platform's instance list was down for a minute. The operator finds one line a second in each
- * node's log, and the lines that matter are lost among them. Cause: each failed run was logged.
- */
-test('an outage is two lines, however long it lasts', async () => {
+// Guards against logs in which other lines cannot be found, because each failed run of a periodic task writes one.
+test('an outage produces two log lines, however long it lasts', async () => {
   const clock = createManualClock()
   const lines: string[] = []
   const log = createLog('test', 'info', clock.wall, (line) => lines.push((JSON.parse(line) as { event: string }).event))
--- a/test/report/fleet.ts
+++ b/test/report/fleet.ts
@@ -1,4 +1,4 @@
-/** Nodes that count and report into one store, for tests of what the reports say in the end. */
+/** Fixtures for tests of reports: nodes that count requests and write their snapshots to one store. */
 import assert from 'node:assert/strict'
 import { createReportKeeper } from '../../src/entry/report-keeper.js'
 import type { ReportKeeper } from '../../src/entry/report-keeper.js'
@@ -8,51 +8,56 @@
 import type { KeyValue } from '../../src/protocols/key-value.js'
 import { createFoldMemory, foldReports } from '../../src/planner/report-folder.js'
 import { createRandom } from '../../src/random.js'
-import { agrees, createLedger, createReportSummary, decodeSnapshot, decodeTotal, periodOf } from '../../src/report/index.js'
+import { createLedger, createReportSummary, decodeSnapshot, decodeTotal, periodOf, sumsAgree } from '../../src/report/index.js'
 import type { CountingLedger, ReportDocument } from '../../src/report/index.js'
 import type { Outcome, RequestKey } from '../../src/request/index.js'
 import type { KeyValueStore } from '../../stand-ins/key-value-store.js'
 import { createManualClock } from '../../stand-ins/manual-clock.js'
 
-/** Start of the first hour of every test. */
+/** Wall time at which each test starts, which is the start of a period. */
 export const START = periodOf(Date.UTC(2026, 11, 2, 9))
 
+/** Outcomes that the tests use. */
 export const SERVED: Outcome = { kind: 'served', finish: 'stop', late: false }
 export const LATE: Outcome = { kind: 'served', finish: 'stop', late: true }
 export const LOST: Outcome = { kind: 'lost', verdict: 'may-have-run' }
 export const UNKNOWN: Outcome = { kind: 'unknown' }
 
-/** One node: a ledger and a keeper that writes only when told to. */
+/** One node: a ledger, and a reporter that writes only when the test calls it. */
 export interface CountingNode {
   readonly incarnation: Incarnation
   readonly ledger: CountingLedger
-  readonly keeper: ReportKeeper
-  accept (name: number): RequestKey
+  readonly reporter: ReportKeeper
+  /** Accepts a new request. */
+  accept (number: number): RequestKey
+  /** Ends an accepted request. */
   end (request: RequestKey, outcome: Outcome): void
-  /** Whether the test lets it write. */
+  /** Whether the test allows the node to write. */
   live: boolean
-  /** Ends the keeper as the death of the process would. */
+  /** Stops the reporter without a final report, as a crash of the process would. */
   crash (): void
 }
 
-/** A clock that tests move, on which nothing wakes by itself. */
-export function createStillClock () {
+/** Creates a clock that the test sets, and on which no sleep ever ends. */
+export function createFrozenClock () {
   const clock = createManualClock(START)
   return { ...clock, sleep: () => new Promise<void>(() => {}) }
 }
-export type StillClock = ReturnType<typeof createStillClock>
+export type FrozenClock = ReturnType<typeof createFrozenClock>
 
+/** Log that writes nothing. */
 export const silentLog = createLog('test', 'silent', () => 0)
 
-export function createCountingNode (name: string, keyValue: KeyValue, clock: StillClock): CountingNode {
+/** Creates a node that reports to the given key-value service. */
+export function createCountingNode (name: string, keyValue: KeyValue, clock: FrozenClock): CountingNode {
   const owner = new AbortController()
   const incarnation = incarnationSchema.parse(`${name}-1`)
   const ledger = createLedger({ wall: clock.wall })
-  const keeper = createReportKeeper({ incarnation, instance: instanceNameSchema.parse(name), ledger, keyValue, clock, random: createRandom(1), log: silentLog, signal: owner.signal })
+  const reporter = createReportKeeper({ incarnation, instance: instanceNameSchema.parse(name), ledger, keyValue, clock, random: createRandom(1), log: silentLog, signal: owner.signal })
   return {
     incarnation,
     ledger,
-    keeper,
+    reporter,
     live: true,
     accept: (number) => {
       const request = requestOf(incarnation, number)
@@ -66,6 +71,7 @@
   }
 }
 
+/** Builds the key of a request. Class and organisation follow from the number. */
 export function requestOf (home: Incarnation, number: number): RequestKey {
   return {
     id: requestIdFor(home, String(number).padStart(16, '0')),
@@ -74,8 +80,8 @@
   }
 }
 
-/** What a report over everything in the store says now. */
-export function reportOf (store: KeyValueStore, clock: StillClock): ReportDocument {
+/** Builds the report over everything in the store. */
+export function reportOf (store: KeyValueStore, clock: FrozenClock): ReportDocument {
   const summary = createReportSummary({ from: START, to: clock.wall() + 1, now: clock.wall(), keptFrom: 0, configuration: undefined })
   const { entries } = store.list('hornbeamgap/reports/', 'hornbeamgap/reports0')
   for (const { key, value } of entries) {
@@ -87,15 +93,15 @@
   return summary.finish()
 }
 
-/** A folder that remembers between its passes. */
-export function createFolder (keyValue: KeyValue, clock: StillClock) {
+/** Creates a function that runs one pass of folding and keeps its memory between passes. */
+export function createReportFolder (keyValue: KeyValue, clock: FrozenClock) {
   const memory = createFoldMemory()
   return () => foldReports({ keyValue, clock, log: silentLog, memory }, new AbortController().signal)
 }
 
-/** Accepted plus refused equals the sum of the outcomes, in every line of a report. */
+/** Asserts that the sums are consistent in every line of a report. */
 export function assertSumsAgree (report: ReportDocument): void {
   for (const line of [report.total, ...report.classes, ...report.organisations, ...report.lines]) {
-    assert.ok(agrees(line.sums), `${line.class ?? 'all'} of ${line.organisation ?? 'all'}: ${JSON.stringify(line.sums)}`)
+    assert.ok(sumsAgree(line.sums), `${line.class ?? 'all'} of ${line.organisation ?? 'all'}: ${JSON.stringify(line.sums)}`)
   }
 }
--- a/test/report/ledger.test.ts
+++ b/test/report/ledger.test.ts
@@ -1,9 +1,9 @@
-/** The ledger's sums, over random lives of requests. */
+/** Counts of the ledger for random sequences of events, and the size limits of snapshots and of the fact store. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import fc from 'fast-check'
 import { classNameSchema, incarnationSchema, organisationNameSchema } from '../../src/identifiers.js'
-import { createFactStore, createLedger, decodeSnapshot, encodeSnapshot, LARGEST_SNAPSHOT } from '../../src/report/index.js'
+import { createFactStore, createLedger, decodeSnapshot, encodeSnapshot, MAX_SNAPSHOT_BYTES } from '../../src/report/index.js'
 import type { Outcome } from '../../src/request/index.js'
 import { LATE, LOST, requestOf, SERVED, START, UNKNOWN } from './fleet.js'
 
@@ -21,9 +21,9 @@
   fc.record({ kind: fc.constant('epoch' as const) })
 )
 
-test('over any life of requests, epochs add up and what entered equals what left and what is open', () => {
-  // A user would see a report whose columns do not add up. Ends are told twice or for requests that
-  // were given away, an hour turns between acceptance and end, and epochs are closed at any moment.
+test('for any sequence of events, the counts of the epochs add up to the requests that ended or are open', () => {
+  // Guards against reports whose columns do not add up. The events include ends that are reported twice or for requests
+  // that were handed over, period changes between acceptance and end, and epochs that are closed at any time.
   fc.assert(fc.property(fc.array(eventArbitrary, { maxLength: 80, size: 'max' }), (events) => {
     let wall = START
     const ledger = createLedger({ wall: () => wall })
@@ -66,9 +66,9 @@
   }), { seed: 1, numRuns: 300 })
 })
 
-test('a snapshot that would be too large keeps its counts and says that latencies are missing', () => {
-  // A user would see a node vanish from the reports: its value is refused by the key-value service
-  // because it is larger than a megabyte, at every write again.
+test('a snapshot that exceeds the size limit keeps its counts and states that latencies are omitted', () => {
+  // Guards against a node that is missing from the reports because the key-value service rejects every write of a
+  // snapshot larger than one megabyte.
   const ledger = createLedger({ wall: () => START })
   const cells = 2_500
   for (let number = 0; number < cells; number += 1) {
@@ -79,14 +79,13 @@
   const head = { incarnation: HOME, instance: 'entry-1' as never, sequence: 1, writtenAt: START, nextWithin: 1, state: { kind: 'counting' as const } }
   const text = encodeSnapshot(head, ledger.snapshot())
   const snapshot = decodeSnapshot(text)!
-  assert.ok(text.length <= LARGEST_SNAPSHOT, `${text.length} bytes`)
+  assert.ok(text.length <= MAX_SNAPSHOT_BYTES, `${text.length} bytes`)
   assert.equal(snapshot.latencyOmitted, true)
   assert.equal(snapshot.cells.reduce((sum, cell) => sum + (cell.counts.served ?? 0), 0), cells)
 })
 
-test('facts stay within their memory: the oldest requests are forgotten, and a long life loses its middle', () => {
-  // A user would see a node die of memory: one request fails over and over and writes a fact each
-  // time, while thousands of others pass.
+test('the fact store stays within its limit: it evicts the oldest requests and drops the middle facts of long ones', () => {
+  // Guards against a node that runs out of memory because requests fail repeatedly and record a fact for each failure.
   const facts = createFactStore({ bytes: 100_000 })
   const upstream = 'engine-1' as never
   for (let number = 0; number < 500; number += 1) {
--- a/test/request/at-most-once.test.ts
+++ b/test/request/at-most-once.test.ts
@@ -254,7 +254,7 @@
         if (reportedVerdicts.get(id)?.has('not-run') === true) assert.equal(count, 0, `${id} was reported not-run but ran`)
       }
       for (const node of nodes) {
-        assert.equal(node.ledger.usage().strays, 0)
+        assert.equal(node.ledger.usage().unmatchedEvents, 0)
         for (const run of node.runs.values()) for (const token of run.tokens) assert.ok(token.startsWith(`stream-${run.id}-`), 'the answer contains tokens of another request')
       }
       const open = nodes.reduce((sum, node) => sum + node.ledger.usage().open, 0)
--- a/test/settings-reference.test.ts
+++ b/test/settings-reference.test.ts
@@ -1,4 +1,4 @@
-/** The settings reference names every key that the schemas know, so that it can't fall behind them. */
+/** The settings reference lists exactly the keys of the schemas, so that the documentation cannot become outdated. */
 import assert from 'node:assert/strict'
 import { readFileSync } from 'node:fs'
 import { test } from 'node:test'
@@ -17,7 +17,7 @@
   { heading: '## hornbeamgap-stand-ins', schema: platformSampleSchema }
 ]
 
-/** The parts of a JSON schema that hold keys. */
+/** Elements of a JSON schema that can contain keys. */
 interface SchemaNode {
   readonly properties?: Readonly<Record<string, SchemaNode>>
   readonly items?: SchemaNode
@@ -28,7 +28,7 @@
 const page = readFileSync('docs/operating/settings.md', 'utf8')
 
 for (const { heading, schema } of REFERENCE) {
-  test(`${heading.slice(3)}: every key has its row`, () => {
+  test(`${heading.slice(3)}: every key has a row`, () => {
     const section = page.split(/^(?=## )/m).find((part) => part.startsWith(`${heading}\n`)) ?? ''
     const rows = new Set([...section.matchAll(/^\| `([^`]+)`/gm)].map((match) => match[1]))
     const keys = keysOf(z.toJSONSchema(schema, { io: 'input' }) as SchemaNode)
@@ -37,14 +37,15 @@
   })
 }
 
-/** Dotted paths of all keys that hold a value; lists of tables are walked into. */
+/** Returns the dotted paths of all keys that have a value, including those of tables in arrays. */
 function keysOf (node: SchemaNode, path = ''): string[] {
   const variants = [...(node.anyOf ?? []), ...(node.oneOf ?? []), ...(node.items ? [node.items] : [])]
-  const below = Object.entries(node.properties ?? {}).flatMap(([name, child]) => keysOf(child, path === '' ? name : `${path}.${name}`))
-  const inside = [...below, ...variants.filter(hasKeys).flatMap((variant) => keysOf(variant, path))]
+  const nested = Object.entries(node.properties ?? {}).flatMap(([name, child]) => keysOf(child, path === '' ? name : `${path}.${name}`))
+  const inside = [...nested, ...variants.filter(hasKeys).flatMap((variant) => keysOf(variant, path))]
   return inside.length === 0 && path !== '' ? [path] : inside
 }
 
+/** Whether a schema, or one of its variants, has keys. */
 function hasKeys (node: SchemaNode): boolean {
   return node.properties !== undefined || [...(node.anyOf ?? []), ...(node.oneOf ?? []), ...(node.items ? [node.items] : [])].some(hasKeys)
 }
--- a/test/tracing.test.ts
+++ b/test/tracing.test.ts
@@ -1,4 +1,4 @@
-/** Spans of the hops that a request takes. */
+/** Trace spans of the hops of a request. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { createClient } from '../src/client/index.js'
@@ -10,9 +10,9 @@
 const TRACE = '0af7651916cd43dd8448eb211c80319c'
 const PARENT = 'b7ad6b7169203331'
 
-test('one trace runs from the caller over each attempt, also over a retry and a hand-over', async () => {
-  // An operator looks up a slow plan by the caller's trace and sees every hop, at both nodes that had it
-  // and at each upstream that was tried.
+test('one trace connects the caller with each attempt, including retries and hand-overs', async () => {
+  // An operator who looks up a slow request by the trace of the caller must find every hop: both nodes that processed
+  // the request, and each upstream that it was dispatched to.
   const deployment = await startDeployment({ clock, seed: 7, entries: 2, engines: 2, logLevel: 'silent' })
   const client = createClient({ addresses: [deployment.addresses[0]!], key: deployment.key })
   try {
@@ -42,7 +42,7 @@
   }
 })
 
-test('a malformed trace context begins a new trace', async () => {
+test('a malformed trace context starts a new trace', async () => {
   const tracing = createTracing('test', undefined)
   for (const malformed of ['', 'rubbish', `00-${'0'.repeat(32)}-${PARENT}-01`, `00-${TRACE}-${'0'.repeat(16)}-01`]) {
     assert.doesNotMatch(tracing.start('hop', malformed, {}).traceparent, new RegExp(TRACE))
--- a/test/whole-path.test.ts
+++ b/test/whole-path.test.ts
@@ -1,4 +1,4 @@
-/** The whole path: a caller asks for addresses, sends to an entry, and an engine's answer streams back. */
+/** End-to-end tests: a caller looks up addresses, sends a request to a node, and receives the streamed answer. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { createClient } from '../src/client/index.js'
@@ -12,12 +12,13 @@
 import { loadSample } from '../stand-ins/sample.js'
 import { startSampleDeployment } from '../stand-ins/sample-deployment.js'
 
-/** Long enough that no plan ends before its entry node has left. */
+/** Length of an answer, in tokens. Long enough that no answer is complete before its entry node has stopped. */
 const PLAN_TOKENS = 600
 
+/** Time between the announcement of a reclaim and the end of the instance. */
 const NOTICE = 4 * SECOND
 
-test('a caller receives the whole answer to its own request', async () => {
+test('a caller receives the complete answer to its request', async () => {
   const deployment = await startDeployment({ clock: createSystemClock(), seed: 1, entries: 3, engines: 3, logLevel: 'silent' })
   const client = createClient({ addresses: deployment.addresses, key: deployment.key })
   try {
@@ -31,10 +32,9 @@
   }
 })
 
-test('a configuration accepted after the nodes have started comes into force on them', async () => {
-  // A newcomer starts three nodes, then applies the first configuration. Callers kept being told that
-  // no configuration is known. The cause: the node asked whether it should watch the key-value service
-  // before its membership existed, and the watch ended for good.
+test('nodes apply a configuration that is accepted after they have started', async () => {
+  // Guards against nodes that never apply the first configuration and refuse all requests. The failure occurs if a node
+  // decides whether to watch the key-value service before its membership exists, and then ends the watch for good.
   const clock = createSystemClock()
   const sample = loadSample('samples/calcaria-lisbon')
   const deployment = await startSampleDeployment({ sample, clock, seed: 1, logLevel: 'silent' })
@@ -49,15 +49,15 @@
   }
 })
 
-test('plans that outlive their entry node are computed once, and the report does not say otherwise', async () => {
-  // A manager reads that a reclaim of an entry node had 390 of 1,000 tokens computed again. The engines
-  // had computed nothing twice: the successor found each stream running and followed it. The cause: it
-  // counted the whole prompt and answer as computed again at the end of each such stream.
+test('answers that outlive their entry node are computed once, and no recomputed tokens are counted', async () => {
+  // Guards against reports with too many recomputed tokens after the reclaim of an entry node. The successor follows
+  // the running streams, so the engines recompute nothing. The failure occurs if the successor counts the prompt and
+  // the answer of each such stream as recomputed.
   const clock = createSystemClock()
   const deployment = await startDeployment({ clock, seed: 1, entries: 3, engines: 2, logLevel: 'silent', engineShape: { token_ms: 10 } })
   const client = createClient({ addresses: deployment.addresses, key: deployment.key })
   try {
-    const streaming = Array.from({ length: 12 }, (_, index) => plan(client, `Plan ${index}`))
+    const streaming = Array.from({ length: 12 }, (_, index) => startPlan(client, `Plan ${index}`))
     await Promise.all(streaming.map((one) => one.begun))
     const [leaving] = [...deployment.entries].sort((left, right) => openRequests(right) - openRequests(left))
     assert.ok(openRequests(leaving!) > 0)
@@ -73,7 +73,7 @@
   }
 })
 
-function plan (client: Client, content: string): { begun: Promise<void>, answer: Promise<ChatAnswer> } {
+function startPlan (client: Client, content: string): { begun: Promise<void>, answer: Promise<ChatAnswer> } {
   let begin: () => void = () => {}
   const begun = new Promise<void>((resolve) => { begin = resolve })
   const answer = client.chat({ class: 'service-plan', messages: [{ role: 'user', content }], maxTokens: PLAN_TOKENS, onToken: () => begin() })
