--- a/src/entry/attempt.ts
+++ b/src/entry/attempt.ts
@@ -11,7 +11,7 @@
 import type { Execution } from './execution.js'
 import { generate } from './generation.js'
 import { isDead } from './liveness.js'
-import { refusedAsLeaving } from './notice-keeper.js'
+import { refusedAsLeaving } from './notice-watcher.js'
 import type { DispatchEnd, Permit } from './permits.js'
 import { callPlain } from './plain-call.js'
 
--- a/src/entry/drain-keeper.ts
+++ b/src/entry/drain-watcher.ts
@@ -1,7 +1,7 @@
 /**
- * Instances that the planner is about to give back: they get no new work, and what runs there ends
- * in peace. The planner waits at least ten seconds between marking and giving back, several times the
- * pause between two looks here.
+ * Watches the instances that the planner drains before it returns them to the cloud. They get no new requests, and
+ * their running requests complete normally. The planner waits at least 10 s between marking an instance and returning
+ * it, which is several times the poll period.
  */
 import * as z from 'zod'
 import type { Clock, Milliseconds } from '../clock.js'
@@ -13,8 +13,8 @@
 import { repeat } from '../repeat.js'
 import type { UpstreamDirectory } from './upstream-directory.js'
 
-/** What the keeper needs. */
-export interface DrainOptions {
+/** Options of {@link startDrainWatcher}. */
+export interface DrainWatcherOptions {
   readonly keyValue: Pick<KeyValue, 'get'>
   readonly directory: UpstreamDirectory
   readonly clock: Clock
@@ -22,22 +22,22 @@
   readonly signal: AbortSignal
 }
 
-/** The planner's list of instances that it drains. */
+/** Stored list of the instances that the planner drains. */
 export const leavingInstancesSchema = z.object({ instances: z.array(instanceNameSchema) })
 
-const LOOK_PERIOD: Milliseconds = 3 * SECOND
+const POLL_PERIOD: Milliseconds = 3 * SECOND
 
 /**
- * Marks upstreams on drained instances as leaving. No reclaim is planned for them: nothing has to be
- * moved in haste.
+ * Starts marking upstreams on drained instances as leaving, until `signal` is aborted. No reclaim is planned for them,
+ * because their running requests have time to complete.
  *
  * @example
- * followDrains({ keyValue, directory, clock, log, signal })
+ * startDrainWatcher({ keyValue, directory, clock, log, signal })
  */
-export function followDrains (options: DrainOptions): void {
+export function startDrainWatcher (options: DrainWatcherOptions): void {
   const { keyValue, directory, signal } = options
 
-  async function look (): Promise<void> {
+  async function poll (): Promise<void> {
     const entry = await keyValue.get(LEAVING_KEY, signal)
     if (entry === undefined) return
     const drained = new Set(leavingInstancesSchema.parse(JSON.parse(entry.value)).instances)
@@ -46,5 +46,5 @@
     }
   }
 
-  repeat(options, 'drained-instances', LOOK_PERIOD, look)
+  repeat(options, 'drained-instances', POLL_PERIOD, poll)
 }
--- a/src/entry/hand-over.ts
+++ b/src/entry/hand-over.ts
@@ -1,4 +1,4 @@
-/** Gives the requests of a leaving node to its successors, and takes those of others. */
+/** Hands over the requests of a leaving node to its successors, and continues requests that other nodes hand over. */
 import { createTimeoutSignal } from '../bound-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
@@ -14,46 +14,51 @@
 import { toAnswerPart, toPart } from './forwarded.js'
 import type { Executions } from './submission.js'
 
-/** What a hand-over needs. */
+/** Options of {@link handOverAll}. */
 export interface HandOverOptions {
   readonly own: Incarnation
   readonly home: HomeTable
   readonly executions: Executions
   readonly peers: Peers
-  /** Calls on connections of their own, for use after a failure. */
+  /** Clients that open a new connection for each call, for use after a failure. */
   readonly freshPeers: Peers
-  /** Nodes that may take requests, best first. */
+  /** Nodes to which requests can be handed over, in order of preference. */
   readonly successors: () => readonly NodeRecord[]
-  /** Time of the clock when this node ends; undefined: when all calls have ended. It may come closer. */
+  /**
+   * Time of the clock at which this node ends. If undefined, it ends when all calls have ended. The deadline may be
+   * brought forward during the hand-over.
+   */
   readonly deadline: () => Milliseconds | undefined
   readonly clock: Clock
   readonly log: Log
   readonly signal: AbortSignal
 }
 
-/** Bounds of one message; a peer accepts four times as much. */
-const BOUNDS = { bytes: 4_194_304, items: 64 }
+/** Limits of one message. A peer accepts messages of four times this size. */
+const MESSAGE_BOUNDS = { bytes: 4_194_304, items: 64 }
 
-/** Bytes of a request besides its texts. */
+/** Estimated size of a request without its texts. */
 const OVERHEAD_BYTES = 512
 
+/** Estimated size of a character of text. */
 const BYTES_PER_CHARACTER = 2
 
-/** Ended ids in one message. */
-const ENDED_BATCH = 2_000
+/** Maximum number of home records in one message of {@link handOverRemaining}. */
+const MAX_RECORDS_PER_MESSAGE = 2_000
 
-/** Sends of one message to one successor. */
-const MOST_SENDS = 3
+/** Maximum number of times that one message is sent to one successor. */
+const MAX_SENDS = 3
 
-/** Before the deadline, so that what cannot be moved is still told to a successor. */
-const MARGIN: Milliseconds = SECOND / 2
+/** Time before the deadline that is reserved for notifying a successor of the requests that cannot be moved. */
+const DEADLINE_MARGIN: Milliseconds = SECOND / 2
 
-/** Pause before what could not be moved is tried again. */
-const POLL: Milliseconds = 100
+/** Pause before requests that could not be moved are tried again. */
+const RETRY_PERIOD: Milliseconds = 100
 
 /**
- * Hands over everything, each id once. Streams move at once; a call in flight that cannot be moved is
- * waited for, and told as unknown at the deadline. What no successor takes goes on here.
+ * Hands over all requests, each id once. Streams are moved immediately. A call in flight that cannot be moved may
+ * finish until shortly before the deadline, and is then handed over with an unknown outcome. Requests that no successor
+ * takes continue on this node until then.
  *
  * @example
  * await handOverAll({ ...options, deadline: () => undefined })
@@ -61,33 +66,35 @@
 export async function handOverAll (options: HandOverOptions): Promise<void> {
   const { home, executions, clock, signal } = options
   const records = new Map(home.beginHandOver()?.map((record) => [record.id, record]))
-  const isOver = (): boolean => clock.now() >= (options.deadline() ?? Infinity) - MARGIN
+  const isOutOfTime = (): boolean => clock.now() >= (options.deadline() ?? Infinity) - DEADLINE_MARGIN
   while (!signal.aborted) {
-    // Without a successor everything ends here, however long it takes.
-    if (options.successors().length > 0) await moveStreams(options, records)
-    if (executions.open().length === 0 || isOver()) break
-    await clock.sleep(POLL, signal).catch(() => {})
+    // Without a successor, the requests continue here until they end or the deadline is near.
+    if (options.successors().length > 0) await handOverMovable(options, records)
+    if (executions.open().length === 0 || isOutOfTime()) break
+    await clock.sleep(RETRY_PERIOD, signal).catch(() => {})
   }
-  await giveRest(options, records)
-  await tellUnknown(executions.open())
+  await handOverRemaining(options, records)
+  await abandonOpen(executions.open())
 }
 
 /**
- * Failure guarded against: the process ends under a call, and its caller sees a connection that breaks.
- * It is told that the call may have run.
+ * Ends the executions that are still open.
+ *
+ * Failure guarded against: the process exits during a call, and the caller sees only a broken connection. Each caller
+ * receives an answer that says that the call may have run.
  */
-async function tellUnknown (open: readonly Execution[]): Promise<void> {
+async function abandonOpen (open: readonly Execution[]): Promise<void> {
   for (const execution of open) execution.owner.abort('abandoned')
   await Promise.all(open.map((execution) => execution.running))
 }
 
 /**
- * Goes on with a request of another node.
+ * Continues a request that another node has handed over.
  *
  * @example
- * for (const handed of handOver.executions) continueHanded(executions, handed, handOver.from)
+ * for (const handed of handOver.executions) continueHandedOver(executions, handed, handOver.from)
  */
-export function continueHanded (executions: Executions, handed: HandedExecution, from: Incarnation): void {
+export function continueHandedOver (executions: Executions, handed: HandedExecution, from: Incarnation): void {
   const start = {
     request: handed.request,
     traceparent: handed.traceparent,
@@ -99,7 +106,7 @@
     firstTokenAge: handed.firstTokenAge,
     recomputedTokens: handed.recomputedTokens
   }
-  const end = handed.end && endOf(handed.end)
+  const end = handed.end && toAnswerEnd(handed.end)
   if (end !== undefined) return executions.keepEnded(start, end)
   const continuation = decideContinuation({ request: handed.request, dispatched: handed.dispatched, tokens: handed.tokens, position: handed.position })
   switch (continuation.kind) {
@@ -115,10 +122,10 @@
   }
 }
 
-/** Streams, and requests that have not been dispatched, can go on elsewhere at any moment. */
-async function moveStreams (options: HandOverOptions, records: Map<RequestId, HomeRecord>): Promise<void> {
+/** Hands over the streams and the requests that have not been dispatched. Successors can continue them at any time. */
+async function handOverMovable (options: HandOverOptions, records: Map<RequestId, HomeRecord>): Promise<void> {
   const movable = options.executions.open().filter((execution) => records.has(execution.request.id) && isMovable(execution))
-  for (const batch of splitIntoMessages(movable, sizeOf, BOUNDS)) await moveBatch(options, records, batch)
+  for (const batch of splitIntoMessages(movable, estimateSize, MESSAGE_BOUNDS)) await handOverBatch(options, records, batch)
 }
 
 function isMovable (execution: Execution): boolean {
@@ -127,35 +134,39 @@
   return decideHandOver({ request, dispatched: dispatched && attempt !== undefined, handle }) === 'move'
 }
 
-async function moveBatch (options: HandOverOptions, records: Map<RequestId, HomeRecord>, batch: readonly Execution[]): Promise<void> {
+async function handOverBatch (options: HandOverOptions, records: Map<RequestId, HomeRecord>, batch: readonly Execution[]): Promise<void> {
   const { executions } = options
-  const positions = new Map(batch.map((execution) => [execution, positionOf(execution)]))
+  const positions = new Map(batch.map((execution) => [execution, streamPositionOf(execution)]))
   await Promise.all(batch.map((execution) => executions.freeze(execution)))
   const frozen = batch.filter((execution) => execution.answer.end() === undefined)
-  const handed = await Promise.all(frozen.map((execution) => toHanded(options, execution, positions.get(execution))))
-  const taken = take(records, frozen.map((execution) => execution.request.id))
-  const result = await sendToSuccessor(options, taken, handed)
-  // Nobody has them: they may be offered again.
-  if (result.kind === 'nobody') for (const record of taken) records.set(record.id, record)
+  const handed = await Promise.all(frozen.map((execution) => toHandedExecution(options, execution, positions.get(execution))))
+  const batchRecords = takeRecords(records, frozen.map((execution) => execution.request.id))
+  const result = await sendToSuccessor(options, batchRecords, handed)
+  // No successor has received these requests, so they can be handed over again.
+  if (result.kind === 'nobody') for (const record of batchRecords) records.set(record.id, record)
   for (const execution of frozen) {
     if (result.kind === 'taken') executions.handedOver(execution, result.by)
     else executions.thaw(execution, positions.get(execution))
   }
 }
 
-/** Ended ids, answers that are still being read, and calls whose outcome will not be known in time. */
-async function giveRest (options: HandOverOptions, records: Map<RequestId, HomeRecord>): Promise<void> {
+/**
+ * Hands over the remaining records: ended requests, answers that callers are still reading, and calls whose outcome
+ * will not be known in time.
+ */
+async function handOverRemaining (options: HandOverOptions, records: Map<RequestId, HomeRecord>): Promise<void> {
   const readable = new Map(options.executions.readable().map((execution) => [execution.request.id, execution]))
   const open = new Set(options.executions.open().map((execution) => execution.request.id))
-  const rest = [...records.values()].map((record) => withEnd(record, readable.get(record.id), open.has(record.id)))
-  for (let start = 0; start < rest.length && !options.signal.aborted; start += ENDED_BATCH) {
-    const batch = rest.slice(start, start + ENDED_BATCH)
+  const remaining = [...records.values()].map((record) => withEnd(record, readable.get(record.id), open.has(record.id)))
+  for (let start = 0; start < remaining.length && !options.signal.aborted; start += MAX_RECORDS_PER_MESSAGE) {
+    const batch = remaining.slice(start, start + MAX_RECORDS_PER_MESSAGE)
     const answers = batch.flatMap((record) => readable.get(record.id) ?? [])
-    const handed = await Promise.all(answers.map((execution) => toHanded(options, execution, undefined)))
+    const handed = await Promise.all(answers.map((execution) => toHandedExecution(options, execution, undefined)))
     await sendToSuccessor(options, batch, handed)
   }
 }
 
+/** Adds the outcome to a record that has none. The outcome of an open call is unknown. */
 function withEnd (record: HomeRecord, ended: Execution | undefined, open: boolean): HomeRecord {
   if (record.ended !== undefined) return record
   if (open) return { ...record, ended: { outcome: { kind: 'unknown' }, verdict: 'may-have-run' } }
@@ -164,37 +175,41 @@
   return { ...record, ended: { outcome, verdict: end?.kind === 'failed' ? end.failure.verdict : verdictForOutcome(outcome) } }
 }
 
-type Sent = { kind: 'taken', by: Incarnation } | { kind: 'nobody' } | { kind: 'doubtful' }
+/** Result of a hand-over message. After `doubtful`, a successor may have taken the requests. */
+type SendResult = { kind: 'taken', by: Incarnation } | { kind: 'nobody' } | { kind: 'doubtful' }
 
 /**
- * Failure guarded against: the reply of a successor is lost, a second successor is sent the same ids, and
- * both run them. Ids are assigned to one successor before the message leaves, and go to another only
- * when no byte of it was written or the first one refused.
+ * Sends requests to the first successor that takes them.
+ *
+ * Failure guarded against: the reply of a successor is lost, the same ids are sent to a second successor, and both run
+ * the requests. Ids are assigned to one successor before the message is sent. They are assigned to another one only if
+ * no byte of the message was written or if the first successor refused it.
  */
-async function sendToSuccessor (options: HandOverOptions, records: readonly HomeRecord[], executions: readonly HandedExecution[]): Promise<Sent> {
+async function sendToSuccessor (options: HandOverOptions, records: readonly HomeRecord[], executions: readonly HandedExecution[]): Promise<SendResult> {
   const { home, log } = options
   for (const successor of options.successors()) {
-    const free = new Set(home.assign(records.map((record) => record.id), successor.incarnation))
-    if (free.size === 0) return { kind: 'doubtful' }
+    const assigned = new Set(home.assign(records.map((record) => record.id), successor.incarnation))
+    if (assigned.size === 0) return { kind: 'doubtful' }
     const message = {
       from: options.own,
-      records: records.filter((record) => free.has(record.id)),
-      executions: executions.filter((handed) => free.has(handed.request.id))
+      records: records.filter((record) => assigned.has(record.id)),
+      executions: executions.filter((handed) => assigned.has(handed.request.id))
     }
     switch (await sendTo(options, successor, message)) {
       case 'taken': return { kind: 'taken', by: successor.incarnation }
       case 'doubtful':
-        log.warn('hand-over-doubtful', { successor: successor.incarnation, requests: free.size })
+        log.warn('hand-over-doubtful', { successor: successor.incarnation, requests: assigned.size })
         return { kind: 'doubtful' }
-      case 'refused': home.unassign([...free])
+      case 'refused': home.unassign([...assigned])
     }
   }
   return { kind: 'nobody' }
 }
 
+/** Sends a message to one successor, and repeats it on new connections while its outcome is unknown. */
 async function sendTo (options: HandOverOptions, successor: NodeRecord, message: HandOver): Promise<'taken' | 'refused' | 'doubtful'> {
   let doubtful = false
-  for (let attempt = 1; attempt <= MOST_SENDS && !options.signal.aborted; attempt += 1) {
+  for (let attempt = 1; attempt <= MAX_SENDS && !options.signal.aborted; attempt += 1) {
     const peers = attempt === 1 ? options.peers : options.freshPeers
     try {
       const signal = createTimeoutSignal(PEER_TIMEOUT, options.signal)
@@ -210,11 +225,11 @@
   return doubtful ? 'doubtful' : 'refused'
 }
 
-async function toHanded (options: HandOverOptions, execution: Execution, position: StreamPosition | undefined): Promise<HandedExecution> {
+async function toHandedExecution (options: HandOverOptions, execution: Execution, position: StreamPosition | undefined): Promise<HandedExecution> {
   const { request, answer, accepted, dispatched, recomputedTokens, traceparent, firstTokenAt } = execution
   const now = options.clock.now()
   const end = answer.end()
-  const tokens = await tokensOf(execution, options.signal)
+  const tokens = await readTokens(execution, options.signal)
   return {
     request,
     accepted,
@@ -229,7 +244,8 @@
   }
 }
 
-async function tokensOf (execution: Execution, signal: AbortSignal): Promise<string[]> {
+/** Reads the tokens that the answer has so far. */
+async function readTokens (execution: Execution, signal: AbortSignal): Promise<string[]> {
   const count = execution.answer.offset()
   const tokens: string[] = []
   if (count === 0) return tokens
@@ -240,20 +256,23 @@
   return tokens
 }
 
-function sizeOf (execution: Execution): number {
+/** Estimates the size of an execution in a message, in bytes. */
+function estimateSize (execution: Execution): number {
   const { work } = execution.request
-  const asked = work.kind === 'plain' ? work.call.body.length : work.body.messages.reduce((sum, message) => sum + message.content.length, 0)
-  return OVERHEAD_BYTES + BYTES_PER_CHARACTER * (asked + execution.answer.text().length)
+  const inputLength = work.kind === 'plain' ? work.call.body.length : work.body.messages.reduce((sum, message) => sum + message.content.length, 0)
+  return OVERHEAD_BYTES + BYTES_PER_CHARACTER * (inputLength + execution.answer.text().length)
 }
 
-function positionOf (execution: Execution): StreamPosition | undefined {
+/** Returns the position in the upstream's stream, or undefined if there is no stream or its handle is not known yet. */
+function streamPositionOf (execution: Execution): StreamPosition | undefined {
   const { attempt, answer } = execution
   if (attempt === undefined) return execution.position
   if (attempt.handle === '') return undefined
   return { upstream: attempt.upstream, handle: attempt.handle, offset: answer.offset() }
 }
 
-function take (records: Map<RequestId, HomeRecord>, ids: readonly RequestId[]): HomeRecord[] {
+/** Removes the records of these ids and returns them. */
+function takeRecords (records: Map<RequestId, HomeRecord>, ids: readonly RequestId[]): HomeRecord[] {
   return ids.flatMap((id) => {
     const record = records.get(id)
     records.delete(id)
@@ -261,7 +280,8 @@
   })
 }
 
-function endOf (part: ForwardedPart) {
+/** Returns the end of an answer, or undefined if the part does not end it. */
+function toAnswerEnd (part: ForwardedPart) {
   switch (part.kind) {
     case 'finished':
     case 'plain':
--- a/src/entry/listener.ts
+++ b/src/entry/listener.ts
@@ -1,19 +1,19 @@
-/** The callers' listener: an HTTP server with limits on headers, time and connections. */
+/** HTTP server for callers, with limits on header size, request time and number of connections. */
 import { createServer } from 'node:http'
 import type { Server } from 'node:http'
 import type { Socket } from 'node:net'
 import type { EntryMetrics } from '../metrics.js'
 import type { EntrySettings } from '../settings.js'
 
-/** How often the server looks for connections beyond their time, in milliseconds. */
-const CHECK_PERIOD = 500
+/** Interval of the checks for connections that have exceeded a time limit, in milliseconds. */
+const CONNECTIONS_CHECK_PERIOD = 500
 
 /**
- * Creates a server that does not listen yet.
+ * Creates a server that is not listening yet.
  *
- * Failure guarded against: callers that connect and send nothing, or one byte at a time, hold all
- * connections. A connection that has not sent its headers or its body in time is closed, also one that
- * never sent anything, and beyond the limit new ones are refused at once.
+ * Failure guarded against: callers that connect and send nothing, or one byte at a time, occupy all connections. A
+ * connection that has not sent its headers or its body in time is closed, even if it has not sent anything. Connections
+ * beyond the limit are refused immediately.
  *
  * @example
  * const server = createCallerServer(settings.limits, metrics)
@@ -24,7 +24,7 @@
     headersTimeout: limits.header_timeout_ms,
     requestTimeout: limits.request_timeout_ms,
     keepAliveTimeout: limits.request_timeout_ms,
-    connectionsCheckingInterval: CHECK_PERIOD
+    connectionsCheckingInterval: CONNECTIONS_CHECK_PERIOD
   })
   server.maxConnections = limits.connections
   server.on('drop', () => metrics.count('connections_refused'))
@@ -35,20 +35,22 @@
   return server
 }
 
-const REFUSALS: Readonly<Record<string, { status: string, type: string, message: string }>> = {
+/** Responses by the error code of the HTTP parser. */
+const REFUSAL_RESPONSES: Readonly<Record<string, { status: string, type: string, message: string }>> = {
   HPE_HEADER_OVERFLOW: { status: '431 Request Header Fields Too Large', type: 'too-large', message: 'the headers are too large' },
   ERR_HTTP_REQUEST_TIMEOUT: { status: '408 Request Timeout', type: 'timeout', message: 'the request did not arrive in time' }
 }
 
-const MALFORMED = { status: '400 Bad Request', type: 'invalid-request', message: 'this is not an HTTP request' }
+/** Response to any other parser error. */
+const MALFORMED_RESPONSE = { status: '400 Bad Request', type: 'invalid-request', message: 'this is not an HTTP request' }
 
-/** What never became a request has not run. */
+/** Answers with the verdict `not-run`, because the request was never parsed completely. */
 function refuse (error: NodeJS.ErrnoException, socket: Socket): void {
   if (!socket.writable || error.code === 'ECONNRESET') {
     socket.destroy()
     return
   }
-  const { status, type, message } = REFUSALS[error.code ?? ''] ?? MALFORMED
+  const { status, type, message } = REFUSAL_RESPONSES[error.code ?? ''] ?? MALFORMED_RESPONSE
   const body = JSON.stringify({ error: { message, type, verdict: 'not-run' } })
   const head = `HTTP/1.1 ${status}\r\ncontent-type: application/json\r\nhornbeamgap-verdict: not-run\r\ncontent-length: ${body.length}\r\nconnection: close\r\n\r\n`
   socket.end(head + body, () => socket.destroy())
--- a/src/entry/node.ts
+++ b/src/entry/node.ts
@@ -1,4 +1,4 @@
-/** An entry node: the parts of one process put together. */
+/** Entry node. Assembles the modules of one process. */
 import { randomBytes } from 'node:crypto'
 import { setMaxListeners } from 'node:events'
 import restana from 'restana'
@@ -31,7 +31,7 @@
 import { createConfigurationKeeper } from './configuration-keeper.js'
 import type { ExecutionContext } from './context.js'
 import { createDispatcher } from './dispatcher.js'
-import { followDrains } from './drain-keeper.js'
+import { startDrainWatcher } from './drain-watcher.js'
 import { closeServer, listen } from '../protocols/listen.js'
 import { createCallerServer } from './listener.js'
 import { createMembershipKeeper } from './membership-keeper.js'
@@ -55,29 +55,32 @@
 /** A running entry node. */
 export interface EntryNode {
   readonly incarnation: Incarnation
-  /** Where callers connect; the port is the bound one. */
+  /** Address for callers, with the port that is actually bound. */
   readonly address: Address
   readonly parts: EntryParts
   /**
-   * Ends without cutting anything off: a planned stop, or with a deadline an announced reclaim.
+   * Stops the node without cutting off requests.
    *
-   * @param deadline time of the node's clock when the platform takes the instance back
+   * @param deadline time of the node's clock at which the platform reclaims the instance; undefined for a planned stop
    */
   stop (deadline?: Milliseconds): Promise<void>
-  /** Ends at once, as the death of the process would. */
+  /** Stops the node immediately, as a crash of the process would. */
   kill (): Promise<void>
 }
 
 const CONNECTIONS_PER_ADDRESS = 256
 
-/** Memory for facts about recent requests. */
-const FACT_BYTES = 8_388_608
+/** Maximum memory for facts about recent requests. */
+const FACT_STORE_BYTES = 8_388_608
 
-const STARTING_RETRY: Milliseconds = 500
-const LARGEST_SEED = 2 ** 30
+/** Time after which a caller may retry a request that arrived while the node was starting. */
+const STARTING_RETRY_AFTER: Milliseconds = 500
+
+const MAX_SEED = 2 ** 30
 
 /**
- * Starts an entry node and waits until it has read the platform once.
+ * Starts an entry node. Resolves after the first attempt to read the instance list, the configuration and the
+ * membership.
  *
  * @throws ServingError when an address cannot be listened on
  * @example
@@ -85,8 +88,8 @@
  */
 export async function startEntryNode (options: { settings: EntrySettings, clock: Clock, random: Random }): Promise<EntryNode> {
   const { settings, clock, random } = options
-  const owner = new AbortController()
-  const { signal } = owner
+  const controller = new AbortController()
+  const { signal } = controller
   setMaxListeners(0, signal)
   const log = createLog(settings.instance, settings.log_level, clock.wall)
   const incarnation = incarnationSchema.parse(`${settings.instance}-${randomBytes(6).toString('hex')}`)
@@ -98,16 +101,17 @@
   const metrics = createEntryMetrics()
   const tracing = createTracing(settings.instance, settings.trace_collector)
   const ledger = createLedger({ wall: clock.wall })
-  const facts = createFactStore({ bytes: FACT_BYTES })
+  const facts = createFactStore({ bytes: FACT_STORE_BYTES })
 
   const instanceList = createInstanceList(connections, settings.platform.instance_list)
   const directory = createUpstreamDirectory({ instanceList, clock, log, signal })
-  followDrains({ keyValue, directory, clock, log, signal })
+  startDrainWatcher({ keyValue, directory, clock, log, signal })
   let ready = false
   let leaving = false
-  // The keeper asks at once, when there is no membership yet; it asks again a second later.
+  // The configuration watcher calls `watching` immediately, when `membership` does not exist yet, and again after a
+  // second. `ready` prevents the early access.
   const configuration = createConfigurationKeeper({ keyValue, clock, log, signal, random, watching: () => ready && membership.watching() })
-  const current = () => configuration.current()?.configuration
+  const currentConfiguration = () => configuration.current()?.configuration
   const permits = createPermits({
     own: incarnation,
     nodes: () => membership.nodes(),
@@ -119,25 +123,25 @@
     permits,
     notes: notes.journal,
     directory,
-    dispatcher: createDispatcher({ scheduler: createScheduler({ random, node: settings.instance }), directory, configuration: current, clock }),
-    bookkeeping: createBookkeeping({ ledger, facts, metrics, clock, configuration: current }),
+    dispatcher: createDispatcher({ scheduler: createScheduler({ random, node: settings.instance }), directory, configuration: currentConfiguration, clock }),
+    bookkeeping: createBookkeeping({ ledger, facts, metrics, clock, configuration: currentConfiguration }),
     tracing,
     retries: createRetryPolicy(),
     connections,
     freshConnections,
-    configuration: current,
+    configuration: currentConfiguration,
     usable: () => configuration.usable(clock.now()),
     mayDispatch: (id) => home.mayDispatch(id),
     clock,
     random,
     signal
   }
-  const home: HomeTable = createHomeTable({ own: incarnation, seed: random.integer(LARGEST_SEED) })
+  const home: HomeTable = createHomeTable({ own: incarnation, seed: random.integer(MAX_SEED) })
   const executions = createExecutions(context, home)
   const streams = createStreams(context, executions)
 
   const server = createCallerServer(settings.limits, metrics)
-  const service = restana({ server, prioRequestsProcessing: false, defaultRoute: (_request: unknown, response: any) => sendFailure(response, unknownRoute()) })
+  const service = restana({ server, prioRequestsProcessing: false, defaultRoute: (_request: unknown, response: any) => sendFailure(response, unknownRouteFailure()) })
   service.use((_request: unknown, response: any, next: () => void) => ready ? next() : sendFailure(response, startingFailure()))
   const peerServer = createPeerServer(settings.peer_key, {
     agreement: {
@@ -175,7 +179,7 @@
   })
 
   notes.start({ buddy: membership.buddy, peers, home, executions, onGone: (listener) => membership.events.on('gone', ({ incarnation: gone }) => listener(gone)), onAccount: ledger.nodeDied, log, signal })
-  membership.events.on('gone', ({ incarnation: gone }) => permits.holderGone(gone))
+  membership.events.on('gone', ({ incarnation: gone }) => permits.releaseHolder(gone))
   const reclaims: Reclaims = startReclaims({
     cloud: settings.platform.cloud,
     connections,
@@ -185,7 +189,7 @@
     streams,
     peers,
     freshPeers,
-    configuration: current,
+    configuration: currentConfiguration,
     onOwnNotice: (deadline) => { stop(deadline).catch((error) => log.error('stop-failed', { error: String(error) })) },
     clock,
     log,
@@ -197,7 +201,7 @@
   registerCallerApi(service, {
     incarnation,
     routing,
-    configuration: current,
+    configuration: currentConfiguration,
     addresses: (organisation) => membership.addressAnswer(organisation, settings.addresses.lifetime_ms),
     metrics,
     bodyLimit: settings.limits.body_bytes
@@ -212,7 +216,7 @@
   ready = true
   log.info('started', { address, incarnation })
 
-  const ending = createStop({
+  const nodeStop = createStop({
     own: incarnation,
     home,
     executions,
@@ -232,12 +236,12 @@
   })
 
   async function kill (): Promise<void> {
-    owner.abort()
+    controller.abort()
     await Promise.all([closeServer(server), closeServer(peerServer), connections.destroy(), freshConnections.destroy(), tracing.close()])
   }
 
   async function stop (deadline?: Milliseconds): Promise<void> {
-    await ending.begin(deadline)
+    await nodeStop.begin(deadline)
     log.info('stopped', { open: executions.open().length })
     await kill()
   }
@@ -245,10 +249,10 @@
   return { incarnation, address, parts, stop, kill }
 }
 
-function unknownRoute (): ServingError {
+function unknownRouteFailure (): ServingError {
   return new ServingError('no such route', { code: 'not-found', verdict: 'not-run' })
 }
 
 function startingFailure (): ServingError {
-  return new ServingError('this node is starting', { code: 'no-configuration', verdict: 'not-run', retryAfter: STARTING_RETRY })
+  return new ServingError('this node is starting', { code: 'no-configuration', verdict: 'not-run', retryAfter: STARTING_RETRY_AFTER })
 }
--- a/src/entry/permits.ts
+++ b/src/entry/permits.ts
@@ -1,4 +1,7 @@
-/** Permits for dispatches: asks the node that owns a request's fingerprint, and answers as such a node. */
+/**
+ * Permits for dispatches. A node requests them from the owner of the request's fingerprint, and grants permits for the
+ * fingerprints that it owns itself.
+ */
 import type { Clock, Milliseconds } from '../clock.js'
 import type { Incarnation, UpstreamName } from '../identifiers.js'
 import type { NodeRecord } from '../membership/index.js'
@@ -14,11 +17,19 @@
 
 /** A permit in force. */
 export interface Permit {
-  /** Suspected of crashing upstreams: it must run where nothing else runs. */
+  /** Whether the request is suspected of crashing upstreams and must run in isolation. */
   readonly apart: boolean
-  /** Admits the dispatch to an upstream. @returns false when another suspect is there */
+  /**
+   * Requests admission of the dispatch to an upstream.
+   *
+   * @returns false if another suspected request is running there
+   */
   enter (upstream: UpstreamName): Promise<boolean>
-  /** @param progressed tokens came before it ended */
+  /**
+   * Releases the permit.
+   *
+   * @param progressed whether tokens were received before the dispatch ended
+   */
   end (how: DispatchEnd, progressed: boolean): void
 }
 
@@ -28,16 +39,18 @@
    * Waits for a permit.
    *
    * @throws ServingError `quarantined`, `not-run`, for a request that has crashed upstreams
+   * @throws ServingError `cancelled`, `not-run`, if the signal is aborted while the request waits
    */
   acquire (request: Request, attempt: number, signal: AbortSignal): Promise<Permit>
-  /** A node died unannounced. */
-  holderGone (holder: Incarnation): void
-  /** Gives the permits that this node keeps to their next owners. */
-  giveAway (): Promise<void>
+  /** Releases the permits and the isolation of a node that has died without a stop. */
+  releaseHolder (holder: Incarnation): void
+  /** Transfers the permits of the fingerprints that this node owns to their next owners. */
+  transferToSuccessors (): Promise<void>
+  /** Handlers of calls from peers. */
   readonly handlers: SuspicionHandlers
 }
 
-/** What permits need. */
+/** Options of {@link createPermits}. */
 export interface PermitOptions {
   readonly own: Incarnation
   readonly nodes: () => readonly NodeRecord[]
@@ -45,19 +58,25 @@
   readonly clock: Clock
 }
 
-/** First pause before a permit that others hold is asked for again, and the longest after doubling. */
-const FIRST_WAIT: Milliseconds = 25
-const LONGEST_WAIT: Milliseconds = 400
+/** Minimum and maximum pause before a permit is requested again. The pause doubles after each request. */
+const MIN_RETRY_PAUSE: Milliseconds = 25
+const MAX_RETRY_PAUSE: Milliseconds = 400
 
-/** A holder whose permit makes others wait is looked at this often. */
+/** Minimum pause between two probes of a node that holds a permit for which other nodes wait. */
 const PROBE_PERIOD: Milliseconds = 1_000
 
-/** Letters of the incarnation that tell an attempt here from one at the node before a hand-over. */
-const OWN_LENGTH = 12
+/**
+ * Length of the suffix of the incarnation that is part of a permit's name. It distinguishes an attempt on this node
+ * from one on the previous home before a hand-over.
+ */
+const INCARNATION_SUFFIX_LENGTH = 12
 
-const QUARANTINE_RETRY: Milliseconds = 60_000
+/** Time after which the caller of a quarantined request may retry. */
+const QUARANTINE_RETRY_AFTER: Milliseconds = 60_000
 
 /**
+ * Creates the permits of one node.
+ *
  * @example
  * const permit = await permits.acquire(request, 1, signal)
  */
@@ -68,18 +87,19 @@
   const probing = new Set<Incarnation>()
 
   /**
-   * Asks the owner of a subject.
+   * Sends a message to the owner of a subject.
    *
-   * Failure guarded against: the owner has died and is not known to be gone yet, and every request with
-   * its fingerprints waits. What this node knows itself then decides; evidence of crashes is everywhere.
+   * Failure guarded against: the owner has died and its death is not detected yet, so that every request with its
+   * fingerprints waits. If the owner does not answer, this node decides from its own records. They are sufficient
+   * because evidence of crashes is broadcast to all nodes.
    */
-  async function ask (subject: string, message: SuspicionMessage, urgency: Urgency): Promise<SuspicionAnswer> {
+  async function askOwner (subject: string, message: SuspicionMessage, urgency: Urgency): Promise<SuspicionAnswer> {
     const owner = fingerprintOwner(subject, options.nodes())
     if (owner === undefined || owner.incarnation === own) return answerSuspicion(handlers, message)
     return client.send(owner.peerAddress, message, urgency).catch(() => answerSuspicion(handlers, message))
   }
 
-  function spread (evidence: Evidence | undefined): void {
+  function broadcastEvidence (evidence: Evidence | undefined): void {
     if (evidence === undefined) return
     for (const node of options.nodes()) {
       if (node.incarnation !== own) client.send(node.peerAddress, { kind: 'observe', evidence: [evidence] }, 'now').catch(() => {})
@@ -87,43 +107,45 @@
   }
 
   function release (end: PermitEnd): void {
-    spread(guard.release(end, clock.now()))
+    broadcastEvidence(guard.release(end, clock.now()))
   }
 
-  async function decide (request: Request, attempt: number): Promise<PermitDecision> {
+  async function requestDecision (request: Request, attempt: number): Promise<PermitDecision> {
     const { fingerprint } = request
     if (guard.isQuarantined(fingerprint, clock.now())) return { kind: 'quarantined' }
-    const wanted = { permit: permitName(`${request.id}/${own.slice(-OWN_LENGTH)}`, attempt), holder: own, evidence: guard.evidence(fingerprint) }
-    const answer = await ask(fingerprint, { kind: 'acquire', request: wanted }, 'now')
-    return answer.kind === 'decided' ? answer.decision : guard.acquire(wanted, clock.now())
+    const permitRequest = { permit: permitName(`${request.id}/${own.slice(-INCARNATION_SUFFIX_LENGTH)}`, attempt), holder: own, evidence: guard.evidence(fingerprint) }
+    const answer = await askOwner(fingerprint, { kind: 'acquire', request: permitRequest }, 'now')
+    return answer.kind === 'decided' ? answer.decision : guard.acquire(permitRequest, clock.now())
   }
 
-  function toPermit (request: Request, attempt: number, granted: Extract<PermitDecision, { kind: 'granted' }>): Permit {
-    const permit = permitName(`${request.id}/${own.slice(-OWN_LENGTH)}`, attempt)
+  function createPermit (request: Request, attempt: number, granted: Extract<PermitDecision, { kind: 'granted' }>): Permit {
+    const permit = permitName(`${request.id}/${own.slice(-INCARNATION_SUFFIX_LENGTH)}`, attempt)
     let entered: UpstreamName | undefined
     return {
       apart: granted.apart,
       enter: async (upstream) => {
         if (!granted.apart) return true
-        const answer = await ask(isolationSubject(upstream), { kind: 'enter', isolation: { upstream, permit, holder: own } }, 'now')
+        const answer = await askOwner(isolationSubject(upstream), { kind: 'enter', isolation: { upstream, permit, holder: own } }, 'now')
         const admitted = answer.kind === 'admitted' && answer.admitted
         if (admitted) entered = upstream
         return admitted
       },
       end: (how, progressed) => {
         const end = { permit, fingerprint: request.fingerprint, how, suspectedFor: granted.suspectedFor, progressed }
-        ask(request.fingerprint, { kind: 'release', end }, how === 'crashed' ? 'now' : 'soon').catch(() => {})
+        askOwner(request.fingerprint, { kind: 'release', end }, how === 'crashed' ? 'now' : 'soon').catch(() => {})
         if (entered === undefined) return
-        ask(isolationSubject(entered), { kind: 'leave', isolation: { upstream: entered, permit, holder: own } }, 'soon').catch(() => {})
+        askOwner(isolationSubject(entered), { kind: 'leave', isolation: { upstream: entered, permit, holder: own } }, 'soon').catch(() => {})
       }
     }
   }
 
   /**
-   * Failure guarded against: a home dies, its callers send again at once, and their requests wait for its
-   * permits until the platform's lease tells of the death. A holder that takes no new connection has none.
+   * Checks whether a holder still runs, and releases its permits if it accepts no connection.
+   *
+   * Failure guarded against: a home dies and its callers repeat their requests immediately. These requests would wait
+   * for the home's permits until its lease expires on the platform.
    */
-  function probe (holder: Incarnation): void {
+  function probeHolder (holder: Incarnation): void {
     const record = options.nodes().find((node) => node.incarnation === holder)
     if (holder === own || record === undefined || probing.has(holder)) return
     probing.add(holder)
@@ -139,7 +161,7 @@
   const handlers: SuspicionHandlers = {
     acquire: (request) => {
       const decision = guard.acquire(request, clock.now())
-      if (decision.kind === 'wait') for (const holder of guard.blockingHolders(request.evidence.fingerprint)) probe(holder)
+      if (decision.kind === 'wait') for (const holder of guard.blockingHolders(request.evidence.fingerprint)) probeHolder(holder)
       return decision
     },
     release,
@@ -151,27 +173,27 @@
 
   return {
     handlers,
-    acquire: async (request, attempt, within) => {
+    acquire: async (request, attempt, signal) => {
       /**
-       * Failure guarded against: a plan is sent twice and the second send asks for its permit forty times a
-       * second for as long as the first one is written. The pauses double.
+       * Failure guarded against: the same request is sent twice, and the second one asks for its permit 40 times per
+       * second until the answer to the first one is complete. The pause doubles up to its maximum.
        */
-      for (let wait = FIRST_WAIT; ; wait = Math.min(LONGEST_WAIT, 2 * wait)) {
-        const decision = await decide(request, attempt)
+      for (let pause = MIN_RETRY_PAUSE; ; pause = Math.min(MAX_RETRY_PAUSE, 2 * pause)) {
+        const decision = await requestDecision(request, attempt)
         switch (decision.kind) {
-          case 'granted': return toPermit(request, attempt, decision)
-          case 'quarantined': throw new ServingError('this request has crashed upstreams and is not run again', { code: 'quarantined', verdict: 'not-run', retryAfter: QUARANTINE_RETRY })
+          case 'granted': return createPermit(request, attempt, decision)
+          case 'quarantined': throw new ServingError('this request has crashed upstreams and is not run again', { code: 'quarantined', verdict: 'not-run', retryAfter: QUARANTINE_RETRY_AFTER })
           case 'wait':
-            await clock.sleep(wait, within).catch(() => {})
-            if (within.aborted) throw new ServingError('withdrawn before it was dispatched', { code: 'cancelled', verdict: 'not-run' })
+            await clock.sleep(pause, signal).catch(() => {})
+            if (signal.aborted) throw new ServingError('withdrawn before it was dispatched', { code: 'cancelled', verdict: 'not-run' })
         }
       }
     },
-    holderGone: (holder) => {
+    releaseHolder: (holder) => {
       isolation.releaseHolder(holder)
       guard.releaseHolder(holder)
     },
-    giveAway: async () => {
+    transferToSuccessors: async () => {
       const others = options.nodes().filter((node) => node.incarnation !== own)
       const groups = new Map<NodeRecord, ReturnType<typeof guard.permits>>()
       for (const permit of guard.permits()) {
--- a/src/entry/reclaim-coordinator.ts
+++ b/src/entry/reclaim-coordinator.ts
@@ -1,6 +1,7 @@
 /**
- * Plans for a leaving upstream on behalf of all nodes that have streams there: its exports share one
- * link, so one node orders them. Which one follows from the membership view; what it knows is soft.
+ * Plans the streams of a leaving upstream for all nodes that have streams there. Exports from one upstream share one
+ * link, so a single node decides on their order. The nodes choose the coordinating node by its rank in their membership
+ * view. The state here is kept in memory only and may be lost at any time.
  */
 import { createTimeoutSignal } from '../bound-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
@@ -16,7 +17,7 @@
 import type { ExportLink, ExportQueue, ReclaimSituation, ReclaimTarget, StreamPlan, ExportDecision } from '../upstream/reclaim/index.js'
 import type { UpstreamDirectory } from './upstream-directory.js'
 
-/** Plans of one node for itself and others. */
+/** Planning by one node, for its own streams and those of other nodes. */
 export type ReclaimCoordinator = Pick<ReclaimHandlers, 'plan' | 'turn' | 'turnEnded'>
 
 /** Options of {@link createReclaimCoordinator}. */
@@ -28,161 +29,177 @@
   readonly signal: AbortSignal
 }
 
-/** Time that requests of other nodes are waited for before the link is planned. */
-const GATHERING: Milliseconds = 100
+/** Time for which plan requests of other nodes are collected before all of them are planned together. */
+const BATCH_WINDOW: Milliseconds = 100
 
-/** Bound on asking a target for its load; one that does not answer is no target. */
+/** Timeout for the load report of a target. An upstream that does not answer in time is not used as a target. */
 const LOAD_TIMEOUT: Milliseconds = 250
 
+/** Interval at which export queues are checked for overdue exports. */
 const TICK_PERIOD: Milliseconds = 100
 
-/** Targets that are asked for their load. */
-const MOST_TARGETS = 24
+/** Maximum number of upstreams whose load is requested. */
+const MAX_TARGETS = 24
 
-/** Answers that an engine decodes at a time, and tokens its cache holds: reports tell shares only. */
-const ENGINE_PLACES = 16
+/**
+ * Assumed number of requests that an engine decodes concurrently, and of tokens that its cache holds. Load reports
+ * state only the used share of the cache.
+ */
+const ENGINE_SLOTS = 16
 const ENGINE_CACHE_TOKENS = 262_144
 
-/** Share of the used cache that holds prefixes no running answer needs. */
-const EVICTABLE = 0.5
+/** Assumed fraction of the used cache that can be evicted because no running request needs it. */
+const EVICTABLE_FRACTION = 0.5
 
-/** Tokens of prompt an engine computes per millisecond, and its time for a token, before any is known. */
+/** Assumed prefill rate of an engine in tokens per millisecond, and its assumed time per generated token. */
 const PREFILL_RATE = 10
 const TOKEN_TIME: Milliseconds = 30
 
-/** Without a configuration recomputed tokens weigh as much as the time they take. */
-const DEFAULT_RECOMPUTED = 20
+/**
+ * Weight of recomputed tokens while there is no configuration. With this value they weigh as much as the time that
+ * their recomputation takes.
+ */
+const DEFAULT_RECOMPUTED_PER_THOUSAND_TOKENS = 20
 
-interface Asked {
+/** Plan request that has not been answered yet. */
+interface PendingPlanRequest {
   readonly request: PlanRequest
   readonly deadline: Milliseconds
   readonly answer: (plans: readonly StreamPlan[]) => void
 }
 
-interface Gathering {
-  waiting: Asked[]
-  /** End of each export that was planned, by request. */
-  readonly exports: Map<RequestId, Milliseconds>
-  readonly turns: ExportQueue
-  /** Exports that wait for their turn. */
-  readonly asking: Map<RequestId, (go: boolean) => void>
+/** State of one leaving upstream. */
+interface ReclaimState {
+  /** Plan requests for the next batch. */
+  waiting: PendingPlanRequest[]
+  /** Planned end of each export. */
+  readonly exportEnds: Map<RequestId, Milliseconds>
+  readonly exportQueue: ExportQueue
+  /** Callbacks of the exports that wait for a decision. */
+  readonly pendingExports: Map<RequestId, (go: boolean) => void>
+  /** Latest known deadline of the upstream. */
   until: Milliseconds
 }
 
 /**
+ * Creates a coordinator. Its periodic checks run until `signal` is aborted.
+ *
  * @example
  * const coordinator = createReclaimCoordinator({ directory, connections, configuration, clock, signal })
  * const { plans } = await coordinator.plan(request)
  */
 export function createReclaimCoordinator (options: CoordinatorOptions): ReclaimCoordinator {
   const { directory, clock, signal } = options
-  const gatherings = new Map<UpstreamName, Gathering>()
+  const states = new Map<UpstreamName, ReclaimState>()
   const estimate = createLinkEstimate()
 
   function plan (request: PlanRequest): Promise<{ plans: readonly StreamPlan[] }> {
     const deadline = clock.now() + request.remainingMs
-    const gathering = gatheringOf(request.upstream, deadline)
+    const state = stateOf(request.upstream, deadline)
     return new Promise((resolve) => {
-      gathering.waiting.push({ request, deadline, answer: (plans) => resolve({ plans }) })
-      if (gathering.waiting.length === 1) planSoon(request.upstream, gathering).catch(() => {})
+      state.waiting.push({ request, deadline, answer: (plans) => resolve({ plans }) })
+      if (state.waiting.length === 1) planBatch(request.upstream, state).catch(() => {})
     })
   }
 
-  function gatheringOf (upstream: UpstreamName, deadline: Milliseconds): Gathering {
-    const known = gatherings.get(upstream)
+  function stateOf (upstream: UpstreamName, deadline: Milliseconds): ReclaimState {
+    const known = states.get(upstream)
     if (known !== undefined) {
       known.until = deadline
-      known.turns.until(deadline)
+      known.exportQueue.until(deadline)
       return known
     }
-    const gathering: Gathering = { waiting: [], exports: new Map(), turns: createExportQueue(estimate, deadline), asking: new Map(), until: deadline }
-    gatherings.set(upstream, gathering)
-    return gathering
+    const state: ReclaimState = { waiting: [], exportEnds: new Map(), exportQueue: createExportQueue(estimate, deadline), pendingExports: new Map(), until: deadline }
+    states.set(upstream, state)
+    return state
   }
 
   function turn (request: TurnRequest): Promise<{ go: boolean }> {
-    const gathering = gatheringOf(request.upstream, clock.now() + request.remainingMs)
+    const state = stateOf(request.upstream, clock.now() + request.remainingMs)
     return new Promise((resolve) => {
-      gathering.asking.set(request.id, (go) => resolve({ go }))
-      answerTurns(gathering, gathering.turns.enqueue(request, clock.now()))
+      state.pendingExports.set(request.id, (go) => resolve({ go }))
+      applyDecisions(state, state.exportQueue.enqueue(request, clock.now()))
     })
   }
 
   function turnEnded (end: TurnEnd): void {
-    const gathering = gatherings.get(end.upstream)
-    if (gathering !== undefined) answerTurns(gathering, gathering.turns.ended(end.id, end.moved, clock.now()))
+    const state = states.get(end.upstream)
+    if (state !== undefined) applyDecisions(state, state.exportQueue.ended(end.id, end.moved, clock.now()))
   }
 
-  function answerTurns (gathering: Gathering, decisions: readonly ExportDecision[]): void {
+  function applyDecisions (state: ReclaimState, decisions: readonly ExportDecision[]): void {
     for (const { id, kind } of decisions) {
-      gathering.asking.get(id)?.(kind === 'go')
-      gathering.asking.delete(id)
+      state.pendingExports.get(id)?.(kind === 'go')
+      state.pendingExports.delete(id)
     }
   }
 
-  /** A node that died during its turn must not keep the link from the others. */
+  /**
+   * Failure guarded against: a node dies during its export and never reports the end, so that the exports of other
+   * nodes wait for the link. The queue starts the next export once the running one is overdue.
+   */
   function tick (): void {
-    for (const gathering of gatherings.values()) answerTurns(gathering, gathering.turns.tick(clock.now()))
-    forgetOld()
+    for (const state of states.values()) applyDecisions(state, state.exportQueue.tick(clock.now()))
+    removeExpired()
   }
 
-  function forgetOld (): void {
-    for (const [upstream, gathering] of gatherings) {
-      if (gathering.until < clock.now() - SECOND && gathering.waiting.length === 0) gatherings.delete(upstream)
+  function removeExpired (): void {
+    for (const [upstream, state] of states) {
+      if (state.until < clock.now() - SECOND && state.waiting.length === 0) states.delete(upstream)
     }
   }
 
-  async function planSoon (upstream: UpstreamName, gathering: Gathering): Promise<void> {
-    const [targets] = await Promise.all([targetsOf(upstream), clock.sleep(GATHERING, signal).catch(() => {})])
-    const asked = gathering.waiting
-    gathering.waiting = []
+  async function planBatch (upstream: UpstreamName, state: ReclaimState): Promise<void> {
+    const [targets] = await Promise.all([findTargets(upstream), clock.sleep(BATCH_WINDOW, signal).catch(() => {})])
+    const batch = state.waiting
+    state.waiting = []
     const now = clock.now()
-    const plans = planReclaim(situationOf(upstream, asked, gathering, targets, now), now)
-    for (const one of plans) {
-      if (one.kind === 'export') gathering.exports.set(one.id, now + one.endAfter)
-      else gathering.exports.delete(one.id)
+    const plans = planReclaim(buildSituation(upstream, batch, state, targets, now), now)
+    for (const streamPlan of plans) {
+      if (streamPlan.kind === 'export') state.exportEnds.set(streamPlan.id, now + streamPlan.endAfter)
+      else state.exportEnds.delete(streamPlan.id)
     }
-    for (const { request, answer } of asked) {
-      const own = new Set(request.streams.map((stream) => stream.id))
-      answer(plans.filter((one) => own.has(one.id)))
+    for (const { request, answer } of batch) {
+      const ownStreams = new Set(request.streams.map((stream) => stream.id))
+      answer(plans.filter((streamPlan) => ownStreams.has(streamPlan.id)))
     }
   }
 
-  function situationOf (upstream: UpstreamName, asked: readonly Asked[], gathering: Gathering, targets: readonly ReclaimTarget[], now: Milliseconds): ReclaimSituation {
+  function buildSituation (upstream: UpstreamName, batch: readonly PendingPlanRequest[], state: ReclaimState, targets: readonly ReclaimTarget[], now: Milliseconds): ReclaimSituation {
     const views = directory.views()
-    const own = views.find((view) => view.name === upstream)
-    const streams = new Map(asked.flatMap(({ request }) => request.streams.map((stream) => [stream.id, stream] as const)))
+    const leavingView = views.find((view) => view.name === upstream)
+    const streams = new Map(batch.flatMap(({ request }) => request.streams.map((stream) => [stream.id, stream] as const)))
     return {
       upstream,
-      failureDomain: own?.failureDomain ?? ('' as UpstreamView['failureDomain']),
-      deadline: Math.min(...asked.map((one) => one.deadline)),
-      link: linkOf(gathering, new Set(streams.keys()), now),
+      failureDomain: leavingView?.failureDomain ?? ('' as UpstreamView['failureDomain']),
+      deadline: Math.min(...batch.map((pending) => pending.deadline)),
+      link: buildLink(state, new Set(streams.keys()), now),
       streams: [...streams.values()],
       targets,
-      leaving: views.filter((view) => view.leaving && view.service === own?.service && view.protocol === 'model').map((view) => view.name),
+      leaving: views.filter((view) => view.leaving && view.service === leavingView?.service && view.protocol === 'model').map((view) => view.name),
       leavingDomains: reclaimedDomains(views.filter((view) => view.protocol === 'model')),
-      recomputedPerThousandTokens: options.configuration()?.deployment.target.recomputed_per_thousand_tokens ?? DEFAULT_RECOMPUTED
+      recomputedPerThousandTokens: options.configuration()?.deployment.target.recomputed_per_thousand_tokens ?? DEFAULT_RECOMPUTED_PER_THOUSAND_TOKENS
     }
   }
 
-  function linkOf (gathering: Gathering, planned: ReadonlySet<RequestId>, now: Milliseconds): ExportLink {
-    const ends = [...gathering.exports].filter(([id]) => !planned.has(id)).map(([, end]) => end)
-    return { ...estimate.link(), busyFor: Math.max(0, ...ends.map((end) => end - now)) }
+  function buildLink (state: ReclaimState, planned: ReadonlySet<RequestId>, now: Milliseconds): ExportLink {
+    const otherEnds = [...state.exportEnds].filter(([id]) => !planned.has(id)).map(([, end]) => end)
+    return { ...estimate.link(), busyFor: Math.max(0, ...otherEnds.map((end) => end - now)) }
   }
 
-  async function targetsOf (upstream: UpstreamName): Promise<readonly ReclaimTarget[]> {
+  async function findTargets (upstream: UpstreamName): Promise<readonly ReclaimTarget[]> {
     const views = directory.views()
     const service = views.find((view) => view.name === upstream)?.service
-    const staying = views.filter((view) => view.service === service && view.protocol === 'model' && !view.leaving && view.name !== upstream)
-    staying.sort((left, right) => score(upstream, right.name) - score(upstream, left.name))
-    const asked = await Promise.all(staying.slice(0, MOST_TARGETS).map(askLoad))
-    return asked.flatMap((target) => target ?? [])
+    const candidateViews = views.filter((view) => view.service === service && view.protocol === 'model' && !view.leaving && view.name !== upstream)
+    candidateViews.sort((left, right) => score(upstream, right.name) - score(upstream, left.name))
+    const targets = await Promise.all(candidateViews.slice(0, MAX_TARGETS).map(fetchTarget))
+    return targets.flatMap((target) => target ?? [])
   }
 
-  async function askLoad (view: UpstreamView): Promise<ReclaimTarget | undefined> {
+  async function fetchTarget (view: UpstreamView): Promise<ReclaimTarget | undefined> {
     try {
-      const bound = createTimeoutSignal(LOAD_TIMEOUT, signal)
-      return toTarget(view, await createEngine(options.connections, view.address).load(bound))
+      const timeoutSignal = createTimeoutSignal(LOAD_TIMEOUT, signal)
+      return toTarget(view, await createEngine(options.connections, view.address).load(timeoutSignal))
     } catch {
       return undefined
     }
@@ -198,8 +215,8 @@
     upstream: view.name,
     failureDomain: view.failureDomain,
     leaving: view.leaving || report.leaving,
-    freeCacheTokens: ENGINE_CACHE_TOKENS * (1 - report.cacheUsed * (1 - EVICTABLE)),
-    freeSlots: Math.max(0, ENGINE_PLACES - report.running - report.waiting),
+    freeCacheTokens: ENGINE_CACHE_TOKENS * (1 - report.cacheUsed * (1 - EVICTABLE_FRACTION)),
+    freeSlots: Math.max(0, ENGINE_SLOTS - report.running - report.waiting),
     prefillRate: PREFILL_RATE,
     tokenTime: TOKEN_TIME,
     importRate: Number.POSITIVE_INFINITY
--- a/src/entry/reclaims.ts
+++ b/src/entry/reclaims.ts
@@ -1,4 +1,4 @@
-/** Everything a node does about reclaims of upstreams, put together. */
+/** Assembles the modules with which a node handles reclaims of upstream instances and of its own instance. */
 import type { Clock, Milliseconds } from '../clock.js'
 import type { Configuration } from '../configuration/index.js'
 import type { Log } from '../log.js'
@@ -8,15 +8,15 @@
 import type { Connections } from '../protocols/http.js'
 import type { Address } from '../identifiers.js'
 import type { MembershipKeeper } from './membership-keeper.js'
-import { createNoticeKeeper } from './notice-keeper.js'
-import type { NoticeKeeper } from './notice-keeper.js'
+import { createNoticeWatcher } from './notice-watcher.js'
+import type { NoticeWatcher } from './notice-watcher.js'
 import { createReclaimCoordinator } from './reclaim-coordinator.js'
-import { startReclaimKeeper } from './reclaim-keeper.js'
+import { startReclaimController } from './reclaim-controller.js'
 import type { Streams } from './streams.js'
 import type { Executions } from './submission.js'
 import type { UpstreamDirectory } from './upstream-directory.js'
 
-/** What reclaims need from their node. */
+/** Options of {@link startReclaims}. */
 export interface ReclaimsOptions {
   /** Address of the cloud's API. */
   readonly cloud: Address
@@ -26,40 +26,44 @@
   readonly executions: Executions
   readonly streams: Streams
   readonly peers: Peers
+  /** Clients that open a new connection for each call, for use after a failure. */
   readonly freshPeers: Peers
   readonly configuration: () => Configuration | undefined
-  /** Called once when the cloud takes back the instance of this node. */
+  /** Called once when the cloud announces the reclaim of this node's instance, with the deadline. */
   readonly onOwnNotice: (deadline: Milliseconds) => void
   readonly clock: Clock
   readonly log: Log
   readonly signal: AbortSignal
 }
 
-/** The running parts. */
+/** Reclaim handling of one node. */
 export interface Reclaims {
+  /** Handlers of calls from peers. */
   readonly handlers: ReclaimHandlers
-  readonly notices: NoticeKeeper
+  readonly notices: NoticeWatcher
 }
 
 /**
+ * Starts reclaim handling, which runs until `signal` is aborted.
+ *
  * @example
  * const reclaims = startReclaims(options)
  * createPeerServer(key, { ...handlers, reclaim: reclaims.handlers })
  */
 export function startReclaims (options: ReclaimsOptions): Reclaims {
   const { membership, directory, connections, clock, log, signal } = options
-  const notices = createNoticeKeeper({
+  const notices = createNoticeWatcher({
     ...options,
     cloud: createCloud(connections, options.cloud),
     own: membership.own,
     nodes: membership.nodes
   })
   const coordinator = createReclaimCoordinator({ directory, connections, configuration: options.configuration, clock, signal })
-  startReclaimKeeper({
+  startReclaimController({
     notices,
     coordinator,
     streams: options.streams,
-    openOf: options.executions.openOf,
+    findOpenExecution: options.executions.openOf,
     own: membership.own,
     nodes: () => membership.nodes().filter((node) => !node.leaving && !membership.isDown(node.incarnation)),
     peers: options.peers,
--- a/src/entry/request-handlers.ts
+++ b/src/entry/request-handlers.ts
@@ -10,7 +10,7 @@
 import { localSource } from './answer-source.js'
 import type { AnswerSource } from './answer-source.js'
 import { toPart } from './forwarded.js'
-import { continueHanded } from './hand-over.js'
+import { continueHandedOver } from './hand-over.js'
 import type { Executions, Located } from './submission.js'
 
 /** A forwarded answer without news shows this often that its home lives. */
@@ -46,7 +46,7 @@
       options.onHandOver(handOver.from)
       const fresh = new Set(home.takeOver(handOver.from, handOver.records, clock.now()))
       for (const handed of handOver.executions) {
-        if (fresh.has(handed.request.id)) continueHanded(executions, handed, handOver.from)
+        if (fresh.has(handed.request.id)) continueHandedOver(executions, handed, handOver.from)
       }
       return { taken: true }
     },
--- a/src/entry/stopping.ts
+++ b/src/entry/stopping.ts
@@ -1,4 +1,4 @@
-/** The end of a node that is not a sudden one: planned, or announced by the platform with a deadline. */
+/** Stop of a node that is planned, or that the platform announces with a deadline. */
 import { createTimeoutSignal } from '../bound-signal.js'
 import type { Server } from 'node:http'
 import type { Milliseconds } from '../clock.js'
@@ -10,108 +10,123 @@
 import type { Permits } from './permits.js'
 import type { ReportKeeper } from './report-keeper.js'
 
-/** What a stop needs besides the hand-over. */
+/** Options of {@link createStop}. */
 export interface StopOptions extends Omit<HandOverOptions, 'deadline'> {
   readonly membership: MembershipKeeper
   readonly permits: Permits
   readonly notes: Notes
   readonly reports: ReportKeeper
   readonly server: Server
-  /** Longest time for which a caller may keep an address answer, in milliseconds. */
+  /** Maximum time for which a caller may cache an address answer. */
   readonly addressLifetime: Milliseconds
-  /** Called when the node takes nothing from other leaving nodes any more. */
+  /** Called when the stop begins. From then on the node must refuse requests that other leaving nodes hand over. */
   readonly onLeaving: () => void
 }
 
-/** A stop, which may become urgent while it is under way. */
+/** Stop of one node. It can become urgent while it is in progress. */
 export interface Stop {
   /**
-   * Begins the stop, or makes it urgent. Resolves when the node has nothing left to do.
+   * Begins the stop, or makes a stop in progress urgent. Resolves when the node can exit.
    *
-   * @param deadline time of the clock when the platform takes the instance back; none: a planned stop
+   * @param deadline time of the clock at which the platform reclaims the instance; undefined for a planned stop
    */
   begin (deadline: Milliseconds | undefined): Promise<void>
 }
 
-/** Until every node has heard that this one leaves, some still give its address to callers. */
-const PROPAGATION: Milliseconds = 3 * SECOND
+/**
+ * Time until all nodes have received the announcement that this node is leaving. Until then, some of them still give
+ * its address to callers.
+ */
+const PROPAGATION_TIME: Milliseconds = 3 * SECOND
 
-/** Open requests are left this long to end by themselves before they are handed over. */
-const PATIENCE: Milliseconds = 30 * SECOND
+/** Maximum time for which open requests may finish before they are handed over. */
+const COMPLETION_TIMEOUT: Milliseconds = 30 * SECOND
 
-/** Time for callers to take what has been written for them. */
-const FLUSH: Milliseconds = 2 * SECOND
+/**
+ * Maximum time for callers to receive the responses that have been written. Answers that are still being read may take
+ * longer.
+ */
+const FLUSH_TIMEOUT: Milliseconds = 2 * SECOND
 
-/** Time for the last report when the platform's service is slow. */
-const REPORT_TIME: Milliseconds = 5 * SECOND
+/** Maximum time for writing the last report to the platform's key-value service. */
+const REPORT_TIMEOUT: Milliseconds = 5 * SECOND
 
-const POLL: Milliseconds = 50
+const POLL_PERIOD: Milliseconds = 50
 
 /**
- * A planned stop: not given to callers any more, but serving them, until no address answer with this
- * node is valid and every request has ended or been handed over. With a deadline the requests are handed
- * over at once and their callers told. Neither cuts anything off.
+ * Creates the stop of a node. The stop begins with the first call of `begin`.
+ *
+ * During a planned stop the node no longer gives out its address, and serves callers until no cached address answer
+ * with this node is valid. Open requests finish or are handed over. With a deadline, requests are handed over
+ * immediately and their callers are notified. Neither kind of stop cuts off a response.
  *
  * @example
  * await createStop(options).begin(undefined)
  */
 export function createStop (options: StopOptions): Stop {
-  const hurry = new AbortController()
+  const urgent = new AbortController()
   let deadline: Milliseconds | undefined
-  let ending: Promise<void> | undefined
+  let completion: Promise<void> | undefined
 
-  const end = async (): Promise<void> => {
+  const runStop = async (): Promise<void> => {
     const { clock, log, executions, membership, permits, notes, reports, signal } = options
     log.info('leaving', { open: executions.open().length, ...(deadline === undefined ? {} : { within: Math.round(deadline - clock.now()) }) })
     options.onLeaving()
-    const announced = membership.leave().catch((error) => log.warn('leave-not-announced', { error: String(error) }))
-    if (deadline === undefined) await serveOn(options, announced, hurry.signal)
+    const announcement = membership.leave().catch((error) => log.warn('leave-not-announced', { error: String(error) }))
+    if (deadline === undefined) await serveUntilIdle(options, announcement, urgent.signal)
     await handOverAll({ ...options, deadline: () => deadline })
-    await Promise.all([permits.giveAway(), notes.flush()])
-    await flush(options, deadline ?? Infinity)
-    await reports.finish(createTimeoutSignal(timeLeft(deadline, clock.now()), signal)).catch(() => false)
+    await Promise.all([permits.transferToSuccessors(), notes.flush()])
+    await flushResponses(options, deadline ?? Infinity)
+    await reports.finish(createTimeoutSignal(reportTimeLeft(deadline, clock.now()), signal)).catch(() => false)
     await membership.withdraw().catch(() => {})
   }
 
   return {
-    begin: (announced) => {
-      if (announced !== undefined) {
-        deadline = Math.min(deadline ?? Infinity, announced)
-        hurry.abort()
+    begin: (announcedDeadline) => {
+      if (announcedDeadline !== undefined) {
+        deadline = Math.min(deadline ?? Infinity, announcedDeadline)
+        urgent.abort()
       }
-      ending ??= end()
-      return ending
+      completion ??= runStop()
+      return completion
     }
   }
 }
 
-/** Serves on until cached addresses have lapsed and the open requests have ended, or until it gets urgent. */
-async function serveOn (options: StopOptions, announced: Promise<void>, hurry: AbortSignal): Promise<void> {
+/**
+ * Serves callers until cached address answers have expired and open requests have ended or reached the completion
+ * timeout, or until the stop becomes urgent.
+ */
+async function serveUntilIdle (options: StopOptions, announcement: Promise<void>, urgent: AbortSignal): Promise<void> {
   const { clock, home, executions } = options
-  const signal = AbortSignal.any([options.signal, hurry])
-  await announced
-  await clock.sleep(options.addressLifetime + PROPAGATION, signal).catch(() => {})
+  const signal = AbortSignal.any([options.signal, urgent])
+  await announcement
+  await clock.sleep(options.addressLifetime + PROPAGATION_TIME, signal).catch(() => {})
   home.close()
-  const patience = clock.now() + PATIENCE
-  while (!signal.aborted && executions.open().length > 0 && clock.now() < patience) await clock.sleep(POLL, signal).catch(() => {})
+  const completionDeadline = clock.now() + COMPLETION_TIMEOUT
+  while (!signal.aborted && executions.open().length > 0 && clock.now() < completionDeadline) await clock.sleep(POLL_PERIOD, signal).catch(() => {})
 }
 
-/** Connections end when their responses have; idle ones at once. */
-async function flush (options: StopOptions, deadline: Milliseconds): Promise<void> {
+/**
+ * Closes the server. Idle connections are closed immediately, the others after their responses. Returns at the deadline
+ * at the latest.
+ */
+async function flushResponses (options: StopOptions, deadline: Milliseconds): Promise<void> {
   const { clock, server, executions, signal } = options
   server.close()
-  const longest = Math.min(deadline, clock.now() + FLUSH)
-  while (!signal.aborted && await connectionsOf(server) > 0) {
-    if (clock.now() >= deadline || (clock.now() >= longest && executions.beingRead() === 0)) return
+  const flushDeadline = Math.min(deadline, clock.now() + FLUSH_TIMEOUT)
+  while (!signal.aborted && await countConnections(server) > 0) {
+    if (clock.now() >= deadline || (clock.now() >= flushDeadline && executions.beingRead() === 0)) return
     server.closeIdleConnections()
-    await clock.sleep(POLL, signal).catch(() => {})
+    await clock.sleep(POLL_PERIOD, signal).catch(() => {})
   }
 }
 
-function connectionsOf (server: Server): Promise<number> {
+function countConnections (server: Server): Promise<number> {
   return new Promise((resolve) => server.getConnections((_error, count) => resolve(count ?? 0)))
 }
 
-function timeLeft (deadline: Milliseconds | undefined, now: Milliseconds): Milliseconds {
-  return Math.max(POLL, Math.ceil(Math.min(REPORT_TIME, (deadline ?? Infinity) - now)))
+/** Returns the time that is left for the last report. */
+function reportTimeLeft (deadline: Milliseconds | undefined, now: Milliseconds): Milliseconds {
+  return Math.max(POLL_PERIOD, Math.ceil(Math.min(REPORT_TIMEOUT, (deadline ?? Infinity) - now)))
 }
--- a/test/entry/listener.test.ts
+++ b/test/entry/listener.test.ts
@@ -1,4 +1,4 @@
-/** Limits of the callers' listener against connections that are held. */
+/** Limits of the HTTP server for callers against connections that are kept open. */
 import assert from 'node:assert/strict'
 import { once } from 'node:events'
 import { connect } from 'node:net'
@@ -12,7 +12,7 @@
 
 const limits = entrySettingsSchema.shape.limits.parse({ header_bytes: 2_048, connections: 3, header_timeout_ms: 200, request_timeout_ms: 400 })
 
-async function serve (body: (open: (text: string) => Promise<Socket>, metrics: ReturnType<typeof createEntryMetrics>) => Promise<void>): Promise<void> {
+async function withServer (body: (open: (text: string) => Promise<Socket>, metrics: ReturnType<typeof createEntryMetrics>) => Promise<void>): Promise<void> {
   const metrics = createEntryMetrics()
   const server = createCallerServer(limits, metrics)
   server.on('request', (_request, response) => response.end('ok'))
@@ -31,33 +31,33 @@
   }
 }
 
-async function received (socket: Socket): Promise<string> {
+async function readAll (socket: Socket): Promise<string> {
   const chunks: Buffer[] = []
   socket.on('data', (chunk: Buffer) => chunks.push(chunk))
   if (!socket.closed) await new Promise((resolve) => socket.once('close', resolve))
   return Buffer.concat(chunks).toString('utf8')
 }
 
-test('connections that send nothing, or too little, are closed with a clear refusal', { timeout: 20_000 }, async () => {
-  // Somebody opens all connections of a node and sends nothing. Callers are refused until the held
-  // connections have passed their time; then they are closed and callers are answered again.
-  await serve(async (open, metrics) => {
+test('connections that send nothing or an incomplete request are refused and closed', { timeout: 20_000 }, async () => {
+  // Failure guarded against: a client opens all connections of a node and sends nothing, so that other callers are
+  // refused. Once the connections exceed their time limit they are closed, and callers are served again.
+  await withServer(async (open, metrics) => {
     const held = await Promise.all([open(''), open('POST /v1/chat'), open('POST / HTTP/1.1\r\nhost: x\r\ncontent-length: 9\r\n\r\nabc')])
     const refused = await open('GET / HTTP/1.1\r\nhost: x\r\n\r\n')
-    assert.equal(await received(refused), '')
+    assert.equal(await readAll(refused), '')
     assert.match(metrics.text(), /connections_refused_total 1/)
-    const texts = await Promise.all(held.map(received))
+    const texts = await Promise.all(held.map(readAll))
     assert.match(texts[1] as string, /^HTTP\/1\.1 408 .*"verdict":"not-run"/s)
     const served = await open('GET / HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n')
-    assert.match(await received(served), /200 OK/)
+    assert.match(await readAll(served), /200 OK/)
   })
 })
 
-test('headers beyond the limit and bytes that are no HTTP are refused as not-run', { timeout: 20_000 }, async () => {
-  await serve(async (open) => {
+test('headers beyond the limit and malformed HTTP are refused as not-run', { timeout: 20_000 }, async () => {
+  await withServer(async (open) => {
     const large = await open(`GET / HTTP/1.1\r\nhost: x\r\nx-large: ${'x'.repeat(4_096)}\r\n\r\n`)
-    assert.match(await received(large), /^HTTP\/1\.1 431 .*"verdict":"not-run"/s)
-    const rubbish = await open('\u0016\u0003\u0001 rubbish\r\n\r\n')
-    assert.match(await received(rubbish), /^HTTP\/1\.1 400 .*"verdict":"not-run"/s)
+    assert.match(await readAll(large), /^HTTP\/1\.1 431 .*"verdict":"not-run"/s)
+    const malformed = await open('\u0016\u0003\u0001 rubbish\r\n\r\n')
+    assert.match(await readAll(malformed), /^HTTP\/1\.1 400 .*"verdict":"not-run"/s)
   })
 })
--- a/test/entry/permits.test.ts
+++ b/test/entry/permits.test.ts
@@ -1,4 +1,4 @@
-/** Permits of one node: how those wait who may not run yet. */
+/** Permits of one node: how a request waits for a permit that another request holds. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { createPermits } from '../../src/entry/permits.js'
@@ -23,11 +23,11 @@
 const request = { id: `${own}.0123456789abcdef`, fingerprint: 'f'.repeat(64) } as unknown as Request
 
 /*
- * The same closure plan is sent twice, under two ids. The second may not run before the first has been
- * answered, half a minute later. Peers see forty questions a second from its home all that time, more than
- * a node has for everything it says. Cause: the permit was asked for again at one short pause.
+ * Failure guarded against: the same request is sent twice under two ids, and the second one must wait half a minute
+ * until the first is answered. If the pause between its permit requests were short and constant, its home would send 40
+ * messages per second to a peer during that time, more than a node may use for all of its peer messages.
  */
-test('a permit that others hold is asked for again at growing pauses', async () => {
+test('a permit that another request holds is requested again with increasing pauses', async () => {
   const clock = createManualClock()
   const asked: SuspicionMessage[] = []
   const client: SuspicionClient = {
@@ -37,11 +37,11 @@
     }
   } as SuspicionClient
   const permits = createPermits({ own, nodes: () => [owner], client, clock })
-  const gone = new AbortController()
-  const waiting = assert.rejects(permits.acquire(request, 1, gone.signal), { code: 'cancelled', verdict: 'not-run' })
+  const controller = new AbortController()
+  const waiting = assert.rejects(permits.acquire(request, 1, controller.signal), { code: 'cancelled', verdict: 'not-run' })
   await clock.advance(0)
   await clock.advance(30_000)
-  assert.ok(asked.length >= 60 && asked.length <= 85, `asked ${asked.length} times in 30 seconds`)
-  gone.abort()
+  assert.ok(asked.length >= 60 && asked.length <= 85, `requested ${asked.length} times in 30 seconds`)
+  controller.abort()
   await waiting
 })
--- a/test/entry/reclaim-keeper.test.ts
+++ b/test/entry/reclaim-controller.test.ts
@@ -1,11 +1,11 @@
-/** Carrying out a plan, with fakes around the keeper and time under the test's control. */
+/** Execution of reclaim plans, with stubs around the controller and a manual clock. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import Emittery from 'emittery'
 import { SECOND } from '../../src/clock.js'
-import type { NoticeEvents, NoticeKeeper } from '../../src/entry/notice-keeper.js'
+import type { NoticeEvents, NoticeWatcher } from '../../src/entry/notice-watcher.js'
 import type { ReclaimCoordinator } from '../../src/entry/reclaim-coordinator.js'
-import { startReclaimKeeper } from '../../src/entry/reclaim-keeper.js'
+import { startReclaimController } from '../../src/entry/reclaim-controller.js'
 import type { OpenStream, Streams } from '../../src/entry/streams.js'
 import { addressSchema, failureDomainSchema, incarnationSchema, instanceNameSchema, requestIdSchema, serviceNameSchema, upstreamNameSchema } from '../../src/identifiers.js'
 import type { RequestId } from '../../src/identifiers.js'
@@ -66,7 +66,7 @@
   }]))
   const recomputed: RequestId[] = []
   const ended: boolean[] = []
-  let asked = 0
+  let planCalls = 0
   const streams: Streams = {
     openAt: () => [...open.values()],
     moveTo: async (id) => {
@@ -81,17 +81,17 @@
   }
   const coordinator: ReclaimCoordinator = {
     plan: async () => {
-      asked += 1
-      return { plans: asked === 1 ? setup.plans : setup.plans.map((plan) => ({ kind: 'stay', id: plan.id })) }
+      planCalls += 1
+      return { plans: planCalls === 1 ? setup.plans : setup.plans.map((plan) => ({ kind: 'stay', id: plan.id })) }
     },
     turn: async () => ({ go: setup.go ?? true }),
     turnEnded: ({ moved }) => { ended.push(moved) }
   }
-  startReclaimKeeper({
-    notices: { events } as unknown as NoticeKeeper,
+  startReclaimController({
+    notices: { events } as unknown as NoticeWatcher,
     coordinator,
     streams,
-    openOf: () => ({ arrivedAt: 0, firstTokenAt: 1, request: { class: 'plan' } }) as never,
+    findOpenExecution: () => ({ arrivedAt: 0, firstTokenAt: 1, request: { class: 'plan' } }) as never,
     own: () => node('entry-1'),
     nodes: () => setup.nodes ?? [node('entry-1')],
     peers: { at: () => { throw new Error('the peer is dead') } } as unknown as Peers,
@@ -101,43 +101,44 @@
     signal: owner.signal
   })
   await events.emit('leaving', { view: VIEW, deadline: NOTICE })
-  return { clock, open, recomputed, ended, planned: () => asked, stop: () => owner.abort() }
+  return { clock, open, recomputed, ended, planned: () => planCalls, stop: () => owner.abort() }
 }
 
-test('streams move as planned and each turn is given back', async () => {
+test('streams move as planned and the end of each export is reported', async () => {
   const run = await start({ plans: [exportPlan(1), exportPlan(2)] })
   await run.clock.advance(SECOND)
   assert.deepEqual([run.open.size, run.recomputed, run.ended], [0, [], [true, true]])
   run.stop()
 })
 
-// A user would see a plan stop half-way: the target dies during the export, the engine has given the
-// stream away, and the node waits for tokens that nobody sends.
-test('a stream whose export fails is computed again, and its turn is given back', async () => {
+// Failure guarded against: the target dies during the export, after the engine has sent the stream away. The node waits
+// for tokens that no engine sends, and the caller's answer stops midway.
+test('a stream whose export fails is recomputed, and the end of the export is reported', async () => {
   const run = await start({ plans: [exportPlan(1)], move: async () => { throw new Error('the target died') } })
   await run.clock.advance(SECOND)
   assert.deepEqual([run.recomputed, run.ended], [[idOf(1)], [false]])
   run.stop()
 })
 
-// A user would get two coaches: an order that may not be repeated is started again from its prompt.
-test('a stream that is not idempotent is planned anew when its export fails, and never computed again', async () => {
+// Failure guarded against: a request that must not run twice is started again from its prompt, and its effects occur
+// twice.
+test('a stream that is not idempotent is planned again when its export fails, and never recomputed', async () => {
   const run = await start({ plans: [exportPlan(1)], idempotent: false, move: async () => { throw new Error('the target died') } })
   await run.clock.advance(NOTICE)
   assert.deepEqual([run.recomputed, run.planned()], [[], 2])
   run.stop()
 })
 
-test('a stream that does not fit any more is computed again at once', async () => {
+test('a stream whose export no longer fits before the deadline is recomputed immediately', async () => {
   const run = await start({ plans: [exportPlan(1)], go: false })
   await run.clock.advance(SECOND)
   assert.deepEqual(run.recomputed, [idOf(1)])
   run.stop()
 })
 
-// A user would wait seconds for the next token: an answer was expected to end in time and has not,
-// and its connection to the dead engine goes silent.
-test('what has not ended shortly before the deadline is moved then', async () => {
+// Failure guarded against: an answer that was expected to finish in time has not finished. Its connection to the dead
+// engine is silent, and the caller waits seconds for the next token.
+test('a stream that is still open shortly before the deadline is recomputed then', async () => {
   const run = await start({ plans: [{ kind: 'finish', id: idOf(1) }] })
   await run.clock.advance(NOTICE * 0.9)
   assert.deepEqual(run.recomputed, [])
@@ -146,9 +147,9 @@
   run.stop()
 })
 
-// A user would see every plan of an engine begin again: the node that was to plan is dead, and the
-// others wait for it until the engine has ended.
-test('when the planning nodes do not answer, a node plans for itself', async () => {
+// Failure guarded against: the node that is to plan is dead, and the others wait for it until the engine has ended. All
+// streams of the engine would have to be recomputed.
+test('when the planning nodes do not answer, a node plans its own streams', async () => {
   const run = await start({ plans: [exportPlan(1)], nodes: ['entry-2', 'entry-3', 'entry-4'].map(node) })
   await run.clock.advance(SECOND)
   assert.deepEqual([run.planned(), run.ended], [1, [true]])
--- a/test/entry/stop.test.ts
+++ b/test/entry/stop.test.ts
@@ -1,4 +1,4 @@
-/** The end of an entry node, seen by callers whose requests are open. */
+/** Stops of an entry node, as seen by callers with open requests. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { setFlagsFromString } from 'node:v8'
@@ -14,22 +14,22 @@
 const collect = runInNewContext('gc') as () => void
 const clock = createSystemClock()
 const TOKENS = 300
-const LIFETIME = 500
+const ADDRESS_LIFETIME_MS = 500
 
-interface Asked {
+interface OpenChat {
   readonly messages: { role: 'user', content: string }[]
   readonly offsets: number[]
   readonly answer: Promise<ChatAnswer>
 }
 
-/** Asks `count` questions and resolves when each has received its first tokens. */
-async function askAll (client: Client, count: number): Promise<Asked[]> {
-  const asked = Array.from({ length: count }, (_, index) => ask(client, `Plan for visit ${index}`))
+/** Starts `count` requests and resolves when each has received its first five tokens. */
+async function startChats (client: Client, count: number): Promise<OpenChat[]> {
+  const asked = Array.from({ length: count }, (_, index) => startChat(client, `Plan for visit ${index}`))
   while (asked.some((one) => one.offsets.length < 5)) await clock.sleep(5)
   return asked
 }
 
-function ask (client: Client, content: string): Asked {
+function startChat (client: Client, content: string): OpenChat {
   const messages = [{ role: 'user' as const, content }]
   const offsets: number[] = []
   const answer = client.chat({ class: 'service-plan', messages, maxTokens: TOKENS, onToken: (_text, offset) => offsets.push(offset) })
@@ -37,59 +37,59 @@
   return { messages, offsets, answer }
 }
 
-async function assertWhole (asked: readonly Asked[]): Promise<void> {
+async function assertComplete (asked: readonly OpenChat[]): Promise<void> {
   for (const { messages, offsets, answer } of asked) {
     assert.equal((await answer).text, answerWords(messages, TOKENS).join(''))
     assert.deepEqual(offsets, Array.from({ length: TOKENS }, (_, index) => index))
   }
 }
 
-/** Nodes that started one after the other hear of each other a little later. */
-async function acquainted (deployment: Deployment): Promise<void> {
+/** Waits until all nodes know each other. Nodes that start one after the other learn of each other with a delay. */
+async function waitForMembership (deployment: Deployment): Promise<void> {
   while (deployment.entries.some((entry) => entry.parts.membership.count() < deployment.entries.length)) await clock.sleep(20)
 }
 
-function startedAt (deployment: Deployment): number {
+function countStarted (deployment: Deployment): number {
   return deployment.engines.reduce((sum, engine) => sum + engine.started.length, 0)
 }
 
-test('an announced reclaim of a node moves every open answer, with nothing computed again', async () => {
-  // A caller watches its plan arrive token by token. The platform takes the entry node back in a few
-  // seconds; the node hands its open requests to a successor and tells the callers, who go on there at
-  // the token where they were. Cause of the failure guarded against: the node holds the answers.
+test('an announced reclaim of a node moves every open answer without recomputation', async () => {
+  // Failure guarded against: the platform reclaims the instance of an entry node that holds open answers, and the
+  // answers are lost with the node. The node must hand its open requests over to a successor and notify the callers,
+  // which continue there at the token that they had reached.
   const deployment = await startDeployment({ clock, seed: 1, entries: 3, engines: 3, logLevel: 'silent' })
   const client = createClient({ addresses: deployment.addresses, key: deployment.key })
   try {
-    await acquainted(deployment)
-    const asked = await askAll(client, 12)
+    await waitForMembership(deployment)
+    const asked = await startChats(client, 12)
     const leaving = deployment.entries[0]!
     await leaving.stop(clock.now() + 700)
-    await assertWhole(asked)
-    assert.equal(startedAt(deployment), asked.length)
+    await assertComplete(asked)
+    assert.equal(countStarted(deployment), asked.length)
   } finally {
     await client.close()
     await deployment.kill()
   }
 })
 
-test('a planned stop serves callers with cached addresses and cuts off nothing', async () => {
-  // An operator restarts a node. A caller that got its address a moment ago still sends there and is
-  // answered; answers that are under way end where they are. Cause: nothing stands in front of the
-  // nodes, so callers learn of a stop only with their next address answer.
-  const deployment = await startDeployment({ clock, seed: 2, entries: 3, engines: 2, logLevel: 'silent', entrySettings: { addresses: { lifetime_ms: LIFETIME } } })
+test('a planned stop serves callers with cached addresses and cuts off no request', async () => {
+  // Failure guarded against: an operator restarts a node, and callers that still cache its address are refused. There
+  // is no load balancer in front of the nodes, so callers learn of a stop only from their next address answer. Until
+  // then the node must serve them, and answers in progress must finish on it.
+  const deployment = await startDeployment({ clock, seed: 2, entries: 3, engines: 2, logLevel: 'silent', entrySettings: { addresses: { lifetime_ms: ADDRESS_LIFETIME_MS } } })
   const leaving = deployment.entries[0]!
   const client = createClient({ addresses: [leaving.address], key: deployment.key })
   try {
-    await acquainted(deployment)
-    const asked = await askAll(client, 6)
+    await waitForMembership(deployment)
+    const asked = await startChats(client, 6)
     const stopped = leaving.stop()
-    await clock.sleep(LIFETIME / 2)
+    await clock.sleep(ADDRESS_LIFETIME_MS / 2)
     const late = await fetchChat(leaving.address, deployment.key)
     assert.equal(late.status, 200)
     await stopped
-    await assertWhole(asked)
-    const after = ask(client, 'After the stop')
-    await assertWhole([after])
+    await assertComplete(asked)
+    const after = startChat(client, 'After the stop')
+    await assertComplete([after])
     assert.ok(!(await client.addresses()).nodes.some((node) => node.address === leaving.address))
   } finally {
     await client.close()
@@ -97,15 +97,14 @@
   }
 })
 
-test('a reclaim waits for a booking while it can, and tells its caller when it cannot', async () => {
-  // Two families book. The node's instance is taken back while both calls are under way at the dispatch
-  // service: one answers in time, the other does not. The first caller gets its answer, the second hears
-  // that its booking may have run, and nobody runs either of them again. Cause: a call in flight cannot
-  // be moved.
+test('a reclaim waits for a booking until the deadline, and then notifies its caller', async () => {
+  // Failure guarded against: a booking is lost without notice or runs twice, because a call in flight cannot be moved.
+  // The node's instance is reclaimed during two calls, and only one of them is answered in time. The first caller must
+  // get its answer and the second one the verdict that its booking may have run. Neither booking may run again.
   const deployment = await startDeployment({ clock, seed: 3, entries: 2, engines: 1, plainServices: 2, logLevel: 'silent' })
   const leaving = deployment.entries[0]!
   try {
-    await acquainted(deployment)
+    await waitForMembership(deployment)
     deployment.plainServices.forEach((service, index) => { service.faults.duration = index === 0 ? 400 : 8_000 })
     const booked = ['visit-1', 'visit-2'].map((reference) => book(leaving.address, deployment.key, reference))
     while (leaving.parts.executions.open().filter((execution) => execution.attempt !== undefined).length < 2) await clock.sleep(5)
@@ -119,25 +118,25 @@
   }
 })
 
-test('the last node of a deployment ends its open answers itself', async () => {
-  // An operator stops a deployment that has one node. Nobody can take its requests over; it must neither
-  // cut them off nor hand them to nobody over and over.
+test('the last node of a deployment finishes its open answers itself', async () => {
+  // Failure guarded against: a node without a successor is stopped, and it cuts off its requests or repeats its
+  // hand-over without end. It must finish the requests itself.
   const deployment = await startDeployment({ clock, seed: 4, entries: 1, engines: 1, logLevel: 'silent', engineShape: { token_ms: 14 } })
   const client = createClient({ addresses: deployment.addresses, key: deployment.key })
   try {
-    const asked = await askAll(client, 2)
+    const asked = await startChats(client, 2)
     await deployment.entries[0]!.stop(clock.now() + 10_000)
-    await assertWhole(asked)
+    await assertComplete(asked)
   } finally {
     await client.close()
     await deployment.kill()
   }
 })
 
-test('a stop ends within its grace also while the key-value service is away', async () => {
-  // An operator stops a node during an outage of the key-value service. Minutes later its process still runs
-  // and warns that its last report isn't written: the signal that bounds the report was collected as
-  // garbage, together with its timer, and never aborted.
+test('a stop ends within its grace period while the key-value service is unavailable', async () => {
+  // Failure guarded against: a node is stopped during an outage of the key-value service, and its process still runs
+  // minutes later because its last report cannot be written. The timeout signal of the report and its timer had been
+  // garbage-collected, so the signal was never aborted.
   const deployment = await startDeployment({ clock, seed: 5, entries: 1, engines: 1, logLevel: 'silent' })
   const client = createClient({ addresses: deployment.addresses, key: deployment.key })
   const collecting = setInterval(collect, 50)
