--- a/src/entry/answer-source.ts
+++ b/src/entry/answer-source.ts
@@ -1,26 +1,26 @@
-/** An answer as the callers' API reads it, whether its request runs here or at another node. */
+/** Sources from which the caller API reads answers, whether the request runs at this node or at another one. */
 import type { Clock } from '../clock.js'
 import type { ClassName, RequestId } from '../identifiers.js'
 import type { AnswerPart } from '../request/index.js'
 import type { Execution } from './execution.js'
 
-/** Where an answer is read from. */
+/** Source of the answer to one request. */
 export interface AnswerSource {
   readonly id: RequestId
   readonly class: ClassName
-  /** Resolves when the request is accepted; stays open when it is refused. */
+  /** Resolves when the request is accepted. Never settles if the request is refused. */
   readonly accepted: Promise<void>
   /**
-   * Parts from an offset on, ending with the final mark. Stops early when the signal aborts.
+   * Yields the tokens from an offset on, then the final event. Stops early when the signal aborts.
    *
-   * @throws ServingError when the node that has the answer cannot be asked
+   * @throws ServingError if the node that holds the answer cannot be reached
    */
   read (offset: number, signal: AbortSignal): AsyncIterable<AnswerPart>
 }
 
 /**
- * Source for a request that runs here. It counts its readers, so that an answer nobody wants any more
- * can be told from one whose caller is about to resume.
+ * Creates the source of a request that runs at this node. Counts the readers of the answer and records when the last
+ * reader left. An answer without readers is cancelled after a grace period, within which its caller may resume.
  *
  * @example
  * for await (const part of localSource(execution, clock).read(0, signal)) send(part)
--- a/src/entry/attempt-end.ts
+++ b/src/entry/attempt-end.ts
@@ -1,12 +1,12 @@
-/** How a try of a request at one upstream ended. */
+/** End of one attempt of a request at an upstream. */
 import type { AttemptResult } from '../admission/index.js'
 import type { AnswerEnd } from '../request/index.js'
 import type { ServingError } from '../verdict.js'
 
-/** How one attempt ended. */
+/** How an attempt ended. `whole` means that the answer is complete. */
 export type AttemptEnd =
   | { kind: 'whole', end: Extract<AnswerEnd, { kind: 'finished' | 'plain' }>, result: AttemptResult }
-  /** `upstreamDied`: new connections are refused or the upstream lost its streams. */
+  /** `upstreamDied`: the upstream refuses new connections or has lost its streams. */
   | { kind: 'failed', failure: ServingError, upstreamDied: boolean }
-  /** The upstream or this node is being left; the request goes on elsewhere from its tokens so far. */
+  /** The stream was left because its upstream or this node is leaving. The request continues after its last token. */
   | { kind: 'recompute' }
--- a/src/entry/bookkeeping.ts
+++ b/src/entry/bookkeeping.ts
@@ -1,4 +1,4 @@
-/** Every point in a request's life where it is counted and remembered, in one place. */
+/** Records every event of a request in the usage ledger, the metrics and the fact store. */
 import type { Clock, Milliseconds } from '../clock.js'
 import type { Configuration, Target } from '../configuration/index.js'
 import { findClass } from '../configuration/index.js'
@@ -9,24 +9,26 @@
 import type { Execution } from './execution.js'
 import type { EntryMetrics } from '../metrics.js'
 
-/** Counts and remembers what happens to executions. */
+/** Records the events of executions. */
 export interface Bookkeeping {
-  /** The caller holds the id; to be called once for each execution. */
+  /** Records that the request was accepted. Must be called once per execution. */
   accepted (execution: Execution): void
-  /** Refused before anything was accepted. */
+  /** Records a refusal of a request that was never accepted. */
   refused (execution: Execution, failure: ServingError): void
   dispatched (execution: Execution, upstream: UpstreamName, attempt: number, reason: string): void
   firstToken (execution: Execution, upstream: UpstreamName): void
   attemptFailed (execution: Execution, upstream: UpstreamName, failure: ServingError): void
-  movedCache (execution: Execution, from: UpstreamName, to: UpstreamName): void
+  cacheMoved (execution: Execution, from: UpstreamName, to: UpstreamName): void
   attached (execution: Execution, offset: number): void
   handedOver (execution: Execution, to: string): void
   takenOver (execution: Execution, from: string): void
-  /** End of an accepted request; what moved is counted by the node that goes on. */
+  /** Records the end of an accepted request. The end of a moved request is recorded by the node that continues it. */
   ended (execution: Execution, end: Exclude<AnswerEnd, { kind: 'moved' }>): void
 }
 
 /**
+ * Creates the bookkeeping of a node.
+ *
  * @example
  * const bookkeeping = createBookkeeping({ ledger, facts, metrics, clock, configuration })
  */
@@ -39,13 +41,13 @@
 
   function outcomeOf (execution: Execution, end: Exclude<AnswerEnd, { kind: 'moved' }>): Outcome {
     switch (end.kind) {
-      case 'finished': return { kind: 'served', finish: end.finish, late: late(execution) }
-      case 'plain': return { kind: 'served', finish: 'stop', late: late(execution) }
+      case 'finished': return { kind: 'served', finish: end.finish, late: isAnswerLate(execution) }
+      case 'plain': return { kind: 'served', finish: 'stop', late: isAnswerLate(execution) }
       case 'failed': return failedOutcome(execution.request, end.failure)
     }
   }
 
-  function late (execution: Execution): boolean {
+  function isAnswerLate (execution: Execution): boolean {
     const current = options.configuration()
     const target = current && findClass(current, execution.request.class)?.target
     return target !== undefined && isLate(target, timesOf(execution), execution.answer.offset())
@@ -73,7 +75,7 @@
       metrics.attemptFailed(execution.request, failure.verdict)
       record(execution.request, { kind: 'attempt-failed', upstream, verdict: failure.verdict, message: failure.message })
     },
-    movedCache: (execution, from, to) => record(execution.request, { kind: 'moved-cache', from, to, tokens: execution.answer.offset() }),
+    cacheMoved: (execution, from, to) => record(execution.request, { kind: 'moved-cache', from, to, tokens: execution.answer.offset() }),
     attached: (execution, offset) => record(execution.request, { kind: 'attached', offset }),
     handedOver: (execution, to) => {
       if (!execution.countedElsewhere) ledger.handedOver(execution.request)
@@ -95,9 +97,9 @@
 }
 
 /**
- * Whether an answer missed its class's target.
+ * Whether an answer missed a latency target of its class.
  *
- * @param tokens tokens of the answer; 0 for plain services
+ * @param tokens number of tokens of the answer; 0 for plain services
  * @example
  * isLate(target, { acceptedAt: 0, firstTokenAt: 300, endedAt: 9_000 }, 120) // true for whole_answer_ms = 8_000
  */
@@ -113,7 +115,7 @@
   return limit !== undefined && duration > limit
 }
 
-/** Times of a request as reports count them: measured from its arrival. */
+/** Times of a request for reports. The arrival counts as the time of acceptance. */
 function timesOf (execution: Execution): RequestTimes {
   return {
     acceptedAt: execution.arrivedAt,
--- a/src/entry/context.ts
+++ b/src/entry/context.ts
@@ -1,4 +1,4 @@
-/** What the modules that run requests share. */
+/** Context shared by the modules that run requests. */
 import type { Clock } from '../clock.js'
 import type { Configuration } from '../configuration/index.js'
 import type { RequestId } from '../identifiers.js'
@@ -12,27 +12,27 @@
 import type { Permits } from './permits.js'
 import type { UpstreamDirectory } from './upstream-directory.js'
 
-/** What executions need from their node. */
+/** Services and state of the node that executions use. */
 export interface ExecutionContext {
   readonly directory: UpstreamDirectory
   readonly dispatcher: Dispatcher
   readonly bookkeeping: Bookkeeping
   readonly permits: Permits
-  /** Notes for the buddy. */
+  /** Notes about open requests, which are sent to the buddy node so that it can recover them if this node dies. */
   readonly notes: NoteJournal
   readonly tracing: Tracing
-  readonly retries: RetryPolicy
-  /** Connections that are kept and used again. */
+  readonly retryPolicy: RetryPolicy
+  /** Pooled connections. */
   readonly connections: Connections
-  /** Connections that serve one exchange each, for what must not meet a silent pooled one. */
-  readonly freshConnections: Connections
+  /** Connections that serve one exchange each, for calls that must not use a pooled connection that may be dead. */
+  readonly unpooledConnections: Connections
   readonly configuration: () => Configuration | undefined
-  /** Whether the configuration is known well enough to take new work. */
+  /** Whether the configuration is known with enough certainty to accept new requests. */
   readonly usable: () => boolean
-  /** Whether this node may dispatch the request now; see the home table. */
+  /** Whether this node may dispatch the request now. See `HomeTable.mayDispatch`. */
   readonly mayDispatch: (id: RequestId) => boolean
   readonly clock: Clock
   readonly random: Random
-  /** The node's life. */
+  /** Aborts when the node stops. */
   readonly signal: AbortSignal
 }
--- a/src/entry/delivery.ts
+++ b/src/entry/delivery.ts
@@ -1,4 +1,4 @@
-/** Hands a configuration to nodes at once, down a tree, and gathers who has not confirmed. */
+/** Delivers a configuration revision to many nodes along a tree, and collects the nodes that did not confirm it. */
 import type { Clock, Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import { DELIVERY_FAN_OUT, splitTargets } from '../configuration/index.js'
@@ -7,48 +7,52 @@
 import type { DeliveryTarget } from '../peer/agreement.js'
 import type { AgreementPeers } from './agreement-peers.js'
 
-/** What a delivery needs. */
+/** Options of a delivery. */
 export interface DeliveryOptions {
+  /** The node that delivers. */
   readonly from: Incarnation
   readonly peers: AgreementPeers
   readonly clock: Clock
   readonly signal: AbortSignal
 }
 
-/** A head that has not answered in this share of the time is passed over. */
-const HEAD_SHARE = 0.5
+/** Share of the remaining time in which the head of a group must answer. After it, the next node becomes the head. */
+const HEAD_TIME_SHARE = 0.5
 
-const SHORTEST_CALL: Milliseconds = 0.1 * SECOND
+/** Minimum time for a call. With less time left, the remaining targets count as missing. */
+const MIN_CALL_TIME: Milliseconds = 0.1 * SECOND
 
 /**
- * Delivers to all targets.
+ * Delivers a revision to all targets.
  *
- * @param within time for the whole delivery, in milliseconds
- * @returns targets that have not confirmed
+ * @param timeLimit time for the whole delivery, in milliseconds
+ * @returns the targets that did not confirm the revision in time
  * @example
- * const missing = await deliverTo(options, configuration, targets, 4_000)
+ * const missing = await deliverConfiguration(options, configuration, targets, 4_000)
  */
-export async function deliverTo (options: DeliveryOptions, configuration: ConfigurationRevision, targets: readonly DeliveryTarget[], within: Milliseconds): Promise<Incarnation[]> {
+export async function deliverConfiguration (options: DeliveryOptions, configuration: ConfigurationRevision, targets: readonly DeliveryTarget[], timeLimit: Milliseconds): Promise<Incarnation[]> {
   const groups = splitTargets(targets, DELIVERY_FAN_OUT)
-  const missing = await Promise.all(groups.map((group) => deliverToGroup(options, configuration, group, within)))
+  const missing = await Promise.all(groups.map((group) => deliverToGroup(options, configuration, group, timeLimit)))
   return missing.flat()
 }
 
 /**
- * Failure guarded against: the head of a group is dead or cut off, and with it the whole group would
- * be missed. The next node of the group becomes its head while there is time; delivering twice is
- * harmless since a revision is put in force once.
+ * Delivers a revision to the first node of a group, which passes it on to the rest of the group.
+ *
+ * Failure guarded against: the first node is dead or unreachable, and the whole group misses the revision. The next
+ * node becomes the head as long as time is left. A second delivery is harmless, because a node puts a revision in force
+ * only once.
  */
-async function deliverToGroup (options: DeliveryOptions, configuration: ConfigurationRevision, group: readonly DeliveryTarget[], within: Milliseconds): Promise<Incarnation[]> {
-  const deadline = options.clock.now() + within
+async function deliverToGroup (options: DeliveryOptions, configuration: ConfigurationRevision, group: readonly DeliveryTarget[], timeLimit: Milliseconds): Promise<Incarnation[]> {
+  const deadline = options.clock.now() + timeLimit
   const missing: Incarnation[] = []
   for (const [index, head] of group.entries()) {
     const remaining = deadline - options.clock.now()
-    const below = group.slice(index + 1)
-    if (remaining < SHORTEST_CALL) return [...missing, ...group.slice(index).map((target) => target.incarnation)]
-    const patience = below.length === 0 ? remaining : Math.max(SHORTEST_CALL, remaining * HEAD_SHARE)
+    const followers = group.slice(index + 1)
+    if (remaining < MIN_CALL_TIME) return [...missing, ...group.slice(index).map((target) => target.incarnation)]
+    const callTimeout = followers.length === 0 ? remaining : Math.max(MIN_CALL_TIME, remaining * HEAD_TIME_SHARE)
     try {
-      const receipt = await options.peers.deliver(head.peerAddress, { from: options.from, configuration, below, within_ms: patience }, options.signal)
+      const receipt = await options.peers.deliver(head.peerAddress, { from: options.from, configuration, below: followers, within_ms: callTimeout }, options.signal)
       const confirmed = receipt.revision >= configuration.revision ? [] : [head.incarnation]
       return [...missing, ...confirmed, ...receipt.missing]
     } catch {
--- a/src/entry/dispatcher.ts
+++ b/src/entry/dispatcher.ts
@@ -1,4 +1,4 @@
-/** Carries out what the scheduler decides: attempts wait here until they are placed or refused. */
+/** Executes the decisions of the scheduler. Attempts wait here until they are placed or refused. */
 import type { AttemptResult, PendingAttempt, Scheduler, SchedulerEffect, SchedulerEvent } from '../admission/index.js'
 import type { Clock } from '../clock.js'
 import type { Configuration } from '../configuration/index.js'
@@ -7,48 +7,52 @@
 import { ServingError } from '../verdict.js'
 import type { UpstreamDirectory } from './upstream-directory.js'
 
-/** Where an attempt runs. */
+/** Upstream at which an attempt runs. */
 export interface Placement {
   readonly upstream: UpstreamView
-  /** Smaller runs earlier at the engine. */
+  /** Priority at the engine. Lower values run earlier. */
   readonly priority: number
-  /** The stream to attach to; undefined when a new one begins. */
+  /** Handle of an existing stream to attach to. Undefined if a new stream starts. */
   readonly handle: string | undefined
 }
 
-/** The scheduler as the rest of the node uses it. */
+/** Interface of the node to the scheduler. */
 export interface Dispatcher {
   /**
-   * Waits for an upstream.
+   * Waits until the scheduler assigns an upstream to the attempt.
    *
-   * @throws ServingError `not-run` when the scheduler refuses, or when the signal aborts first
+   * @throws ServingError with verdict `not-run` if the scheduler refuses the attempt or the signal aborts first
    */
   place (attempt: PendingAttempt, signal: AbortSignal): Promise<Placement>
+  /** Reports the first token of a placed attempt to the scheduler. */
   firstToken (id: RequestId): void
   /** Ends a placed attempt. */
   ended (id: RequestId, result: AttemptResult): void
-  /** Tells the scheduler something else that happened. */
-  feed (event: SchedulerEvent): void
-  /** Attempts that wait. */
+  /** Passes any other event to the scheduler. */
+  notify (event: SchedulerEvent): void
+  /** Number of attempts that wait for an upstream. */
   waiting (): number
 }
 
+/** An attempt that waits for the decision of the scheduler. */
 interface Waiter {
   readonly attempt: PendingAttempt
   readonly place: (placement: Placement) => void
   readonly refuse: (failure: ServingError) => void
 }
 
-/** What a dispatcher works with. */
+/** Options of a dispatcher. */
 export interface DispatcherOptions {
   readonly scheduler: Scheduler
   readonly directory: UpstreamDirectory
-  /** The configuration in force. */
+  /** Returns the configuration in force. */
   readonly configuration: () => Configuration | undefined
   readonly clock: Clock
 }
 
 /**
+ * Creates a dispatcher without waiting attempts.
+ *
  * @example
  * const dispatcher = createDispatcher({ scheduler, directory, configuration, clock })
  * const { upstream, priority } = await dispatcher.place(attempt, signal)
@@ -56,40 +60,44 @@
 export function createDispatcher (options: DispatcherOptions): Dispatcher {
   const { scheduler, directory, clock } = options
   const waiters = new Map<RequestId, Waiter>()
-  let configured: Configuration | undefined
+  let schedulerConfiguration: Configuration | undefined
 
   /**
-   * Failure guarded against: a caller that has just been told that a revision is in force sends a request
-   * of its new class, and is refused for want of upstreams, since the scheduler hears of the revision only
-   * with the next tick. Whatever the scheduler decides, it decides on the revision in force.
+   * Passes an event to the scheduler, preceded by the configuration if it has changed.
+   *
+   * Failure guarded against: a caller receives the confirmation of a revision and immediately sends a request of a
+   * class that the revision adds. If the scheduler received the revision only with its next tick, it would refuse the
+   * request because it knows no upstream for the class. Every decision is therefore based on the revision in force.
    */
   function handle (event: SchedulerEvent): void {
     const current = options.configuration()
-    if (current !== undefined && current !== configured) {
-      configured = current
-      carryOutAll({ kind: 'configured', configuration: current })
+    if (current !== undefined && current !== schedulerConfiguration) {
+      schedulerConfiguration = current
+      applyEvent({ kind: 'configured', configuration: current })
     }
-    carryOutAll(event)
+    applyEvent(event)
   }
 
-  function carryOutAll (event: SchedulerEvent): void {
-    for (const effect of scheduler.handle(event, clock.now())) carryOut(effect)
+  function applyEvent (event: SchedulerEvent): void {
+    for (const effect of scheduler.handle(event, clock.now())) applyEffect(effect)
   }
 
-  function carryOut (effect: SchedulerEffect): void {
+  function applyEffect (effect: SchedulerEffect): void {
     const waiter = waiters.get(effect.id)
     if (waiter === undefined) return
     switch (effect.kind) {
       case 'dispatch': return dispatch(effect, waiter)
       case 'refuse':
         waiters.delete(effect.id)
-        return waiter.refuse(refusal(effect))
+        return waiter.refuse(refusalFailure(effect))
     }
   }
 
   /**
-   * Failure guarded against: an upstream vanishes between the decision and its carrying out, and an
-   * accepted answer is lost over it. The attempt arrives again and is decided on the present upstreams.
+   * Places an attempt at the upstream that the scheduler chose.
+   *
+   * Failure guarded against: the upstream disappears from the directory between the decision and the dispatch, and an
+   * accepted answer is lost. The attempt is submitted to the scheduler again, with the current upstreams.
    */
   function dispatch (effect: Extract<SchedulerEffect, { kind: 'dispatch' }>, waiter: Waiter): void {
     const upstream = directory.find(effect.upstream)
@@ -120,16 +128,16 @@
     }),
     firstToken: (id) => handle({ kind: 'first-token', id }),
     ended: (id, result) => handle({ kind: 'ended', id, result }),
-    feed: handle,
+    notify: handle,
     waiting: () => waiters.size
   }
 }
 
-function refusal (effect: Extract<SchedulerEffect, { kind: 'refuse' }>): ServingError {
-  return new ServingError(REFUSALS[effect.code], { code: effect.code, verdict: 'not-run', retryAfter: effect.retryAfter })
+function refusalFailure (effect: Extract<SchedulerEffect, { kind: 'refuse' }>): ServingError {
+  return new ServingError(REFUSAL_MESSAGES[effect.code], { code: effect.code, verdict: 'not-run', retryAfter: effect.retryAfter })
 }
 
-const REFUSALS: Record<Extract<SchedulerEffect, { kind: 'refuse' }>['code'], string> = {
+const REFUSAL_MESSAGES: Record<Extract<SchedulerEffect, { kind: 'refuse' }>['code'], string> = {
   overloaded: 'the class\'s target cannot be met now',
   'organisation-limit': 'the organisation uses its share already',
   'no-upstream': 'no upstream of the service is live'
--- a/src/entry/execution.ts
+++ b/src/entry/execution.ts
@@ -1,98 +1,103 @@
-/** One request at the node that runs it: its answer, where its stream stands, and its times. */
+/** State of one request at the node that runs it: its answer, its stream and its times. */
 import type { Clock, Milliseconds } from '../clock.js'
 import type { UpstreamName } from '../identifiers.js'
 import { createAnswer } from '../request/index.js'
 import type { Answer, Outcome, Request, StreamPosition } from '../request/index.js'
 
-/** Where a running attempt shall go on instead. */
+/** Where a running attempt continues after it leaves its stream. */
 export type Redirection =
-  /** The cache was exported: attach to the stream of that handle. */
+  /** The cache was exported to another upstream. The attempt attaches to the stream with this handle. */
   | { kind: 'attach', upstream: UpstreamName, handle: string }
-  /** Start again elsewhere from the prompt and the tokens so far. */
+  /** The request starts again at another upstream, from the prompt and the tokens so far. */
   | { kind: 'recompute' }
 
 /** An attempt that runs at an upstream. */
 export interface OpenAttempt {
   readonly upstream: UpstreamName
-  /** The upstream's name for the stream; empty for plain services and before the stream has begun. */
+  /** Handle that the upstream assigned to the stream. Empty for plain services and before the stream has started. */
   handle: string
   readonly startedAt: Milliseconds
-  /** Leaves the upstream's stream and goes on as told. */
+  /** Leaves the stream and continues at the given place. Only the first call has an effect. */
   redirect (redirection: Redirection): void
 }
 
-/** Why a run ends here before its answer does. */
+/** Why a run at this node stops before the answer has ended. */
 export type StopReason =
-  /** It goes on at another node, which attaches to the upstream's stream. */
+  /** Another node continues the request and attaches to the stream of the upstream. */
   | 'handed-over'
-  /** Its caller is gone for good; the upstream is told to cancel. */
+  /** The caller has left and did not resume. The stream is cancelled at the upstream. */
   | 'abandoned'
 
-/** A request from its arrival to its end. */
+/** State of a request from its arrival to its end. */
 export interface Execution {
   readonly request: Request
   readonly answer: Answer
   readonly arrivedAt: Milliseconds
-  /** The same on the wall clock, for reports. */
+  /** Time of arrival by the wall clock, for reports. */
   readonly arrivedAtWall: Milliseconds
-  /** W3C trace context that the caller sent or this node began. */
+  /** W3C trace context, sent by the caller or started by this node. */
   readonly traceparent: string | undefined
-  /** Aborts when the run ends here before its answer does, with a {@link StopReason}, or with the node. */
-  owner: AbortController
-  /** Where the next run attaches first, for a request that was taken over. */
+  /**
+   * Aborts the current run. The reason is a {@link StopReason}, or that of the node's own signal if the node stops.
+   */
+  runController: AbortController
+  /** Stream to which the next run attaches first, for a request that was taken over. */
   position: StreamPosition | undefined
-  /** Resolves when the request is accepted; never when it is refused. */
+  /** Resolves when the request is accepted. Never settles if the request is refused. */
   readonly acceptance: Promise<void>
-  /** Marks the request as accepted: from now on its caller holds the id of an answer that has begun. */
+  /** Marks the request as accepted. From then on its caller knows the id of an answer that has started. */
   accept (): void
-  /** Resolves when the present run has ended, for whatever reason. */
+  /** Resolves when the current run has ended, for any reason. */
   running: Promise<void>
-  /** The attempt that runs now. */
+  /** The running attempt, if any. */
   attempt: OpenAttempt | undefined
   accepted: boolean
-  /** Something was sent to an upstream and may have run. */
+  /** Whether anything was dispatched to an upstream that ran or may have run. */
   dispatched: boolean
   firstTokenAt: Milliseconds | undefined
   endedAt: Milliseconds | undefined
-  /** How it ended. */
+  /** How the request ended. */
   outcome: Outcome | undefined
-  /** The prompt is not known here: the stream can be followed and never run again. */
+  /** Whether the prompt is unknown at this node. The request can then only follow its stream and never run again. */
   readonly attachOnly: boolean
-  /** Another node's report counts it. */
+  /** Whether the report of another node counts the request. */
   readonly countedElsewhere: boolean
-  /** Tokens computed again because of reclaims, crashes or retries. */
+  /** Number of tokens that were computed again because of reclaims, crashes or retries. */
   recomputedTokens: number
-  /** An earlier attempt has computed the prompt. */
-  computedBefore: boolean
-  /** Callers that are connected. */
+  /** Whether an earlier attempt has already prefilled the prompt. */
+  prefilledBefore: boolean
+  /** Number of callers that are reading the answer. */
   readers: number
-  /** When the last caller went away. */
+  /** When the last reader left. Undefined before the first reader has left. */
   unreadSince: Milliseconds | undefined
 }
 
-/** What an execution begins with. */
+/** Initial state of an execution. */
 export interface ExecutionStart {
   readonly request: Request
   readonly traceparent?: string | undefined
-  /** Tokens that exist already, for a request that is taken over. */
+  /** Tokens of the answer so far, for a request that is taken over. */
   readonly tokens?: readonly string[]
-  /** Where its stream stands at an upstream, for a request that is taken over. */
+  /** Position of the stream at its upstream, for a request that is taken over. */
   readonly position?: StreamPosition | undefined
-  /** Its caller had the id at the node before. */
+  /** Whether the previous node had accepted the request. */
   readonly accepted?: boolean
+  /** Whether the previous node had dispatched the request. */
   readonly dispatched?: boolean
-  /** The prompt is not known here: the stream can be followed and never run again. Default false. */
+  /** Whether the prompt is unknown at this node. See {@link Execution.attachOnly}. Default false. */
   readonly attachOnly?: boolean
-  /** Another node's report counts it. Default false. */
+  /** Whether the report of another node counts the request. Default false. */
   readonly countedElsewhere?: boolean
   readonly recomputedTokens?: number
-  /** How long ago its first token came, in milliseconds. */
+  /** Time since the first token, in milliseconds. */
   readonly firstTokenAge?: Milliseconds | undefined
-  /** How long ago it arrived at the node before, in milliseconds. */
+  /** Time since the request arrived at the previous node, in milliseconds. */
   readonly age?: Milliseconds
 }
 
 /**
+ * Creates the state of a request that does not run yet.
+ *
  * @example
  * const execution = createExecution({ request }, clock)
  */
@@ -105,7 +110,7 @@
     arrivedAt: clock.now() - (start.age ?? 0),
     arrivedAtWall: clock.wall() - (start.age ?? 0),
     traceparent: start.traceparent,
-    owner: new AbortController(),
+    runController: new AbortController(),
     position: start.position,
     acceptance,
     accept: () => {
@@ -122,7 +127,7 @@
     attachOnly: start.attachOnly ?? false,
     countedElsewhere: start.countedElsewhere ?? false,
     recomputedTokens: start.recomputedTokens ?? 0,
-    computedBefore: (start.tokens?.length ?? 0) > 0,
+    prefilledBefore: (start.tokens?.length ?? 0) > 0,
     readers: 0,
     unreadSince: undefined
   }
--- a/src/entry/forwarded.ts
+++ b/src/entry/forwarded.ts
@@ -1,15 +1,15 @@
-/** Parts of answers as they cross nodes. */
+/** Conversion of answer parts to and from the messages in which nodes forward them. */
 import { fromWire, toWire } from '../peer/request.js'
 import type { ForwardedPart } from '../peer/request.js'
 import type { AnswerPart } from '../request/index.js'
 
 /**
- * An answer's part as it crosses nodes.
+ * Converts a part of an answer to the message that forwards it to another node.
  *
  * @example
- * toPart({ kind: 'moved', retryAfter: 0 })
+ * toForwardedPart({ kind: 'moved', retryAfter: 0 })
  */
-export function toPart (part: AnswerPart): ForwardedPart {
+export function toForwardedPart (part: AnswerPart): ForwardedPart {
   switch (part.kind) {
     case 'token': return { kind: 'token', offset: part.token.offset, text: part.token.text }
     case 'finished': return part
@@ -20,7 +20,7 @@
 }
 
 /**
- * A part of an answer as the other node sent it.
+ * Converts a forwarded message to the part of the answer that it contains.
  *
  * @example
  * toAnswerPart({ kind: 'token', offset: 0, text: 'Rinse ' })
--- a/src/entry/generation.ts
+++ b/src/entry/generation.ts
@@ -1,4 +1,4 @@
-/** One attempt of a model request: tokens from an engine's stream into the answer. */
+/** One attempt of a model request: copies the tokens of an engine's stream into the answer. */
 import type { UpstreamName } from '../identifiers.js'
 import { createEngine } from '../protocols/engine.js'
 import type { EngineCall, EngineEvent, EngineStream } from '../protocols/engine.js'
@@ -12,73 +12,73 @@
 import type { Placement } from './dispatcher.js'
 import type { Execution, OpenAttempt, Redirection } from './execution.js'
 
-/** Connections of an execution follow each other: each has a matcher of its own, with one attempt. */
-const CONNECTION = 1
+/** Attempt number in the matcher of a connection. Connections follow each other, and each has a matcher of its own. */
+const ATTEMPT = 1
 
-/** Tokens read ahead of the fastest reader before the upstream is left waiting. */
-const READ_AHEAD = 1_024
+/** Maximum number of tokens ahead of the fastest reader. Beyond it, the node stops reading from the upstream. */
+const MAX_UNREAD_TOKENS = 1_024
 
-/** New connections to a stream without a token in between, before the upstream is judged stuck. */
-const MOST_RECONNECTIONS = 6
+/** Maximum number of reconnections to a stream without a new token in between. Beyond it, the attempt fails. */
+const MAX_RECONNECTIONS = 6
 
-/** Reason of an abort at the regular end; without one each abort would build an exception with its stack. */
-const CLOSED = 'closed'
+/** Reason of an abort at the regular end. Without a reason, each abort would create an exception with a stack trace. */
+const CLOSED_REASON = 'closed'
 
-/** A stream's place, and how it was come by. */
-interface Place {
+/** Upstream and handle of the stream of an attempt. */
+interface StreamLocation {
   readonly upstream: UpstreamView
-  /** Undefined before the stream has begun. */
+  /** Undefined before the stream has started. */
   handle: string | undefined
-  /** Tokens that the engine had to be given when it began. */
-  readonly givenTokens: number
-  /** Whether this attempt found the stream running; what it has computed was not computed again. */
+  /** Number of tokens of the answer that existed when the attempt started, and that the engine may have to prefill. */
+  readonly tokensAtStart: number
+  /** Whether the attempt attached to a running stream. Nothing is recomputed in this case. */
   readonly found: boolean
 }
 
 /**
- * Runs one attempt. A lost or silent connection is replaced by a new one before the upstream is
- * judged; a redirection is followed.
+ * Runs one attempt. A lost or silent connection is replaced by a new one before the attempt counts as failed.
+ * Redirections are followed.
  *
  * @example
  * const end = await generate(context, execution, placement, body, 'assistant-7b', traceparent)
  */
 export async function generate (context: ExecutionContext, execution: Execution, placement: Placement, body: ChatBody, model: string, traceparent: string): Promise<AttemptEnd> {
-  const { answer, owner } = execution
-  let place: Place = { upstream: placement.upstream, handle: placement.handle, givenTokens: answer.offset(), found: placement.handle !== undefined }
+  const { answer, runController } = execution
+  let location: StreamLocation = { upstream: placement.upstream, handle: placement.handle, tokensAtStart: answer.offset(), found: placement.handle !== undefined }
   let reconnections = 0
   let leave: (() => void) | undefined
   try {
     for (;;) {
-      const before = answer.offset()
-      const connection = openConnection(context, execution, place)
+      const offsetBefore = answer.offset()
+      const connection = openConnection(context, execution, location)
       try {
-        const stream = await openStream(context, execution, place, { body, model, priority: placement.priority, traceparent, signal: connection.signal }, reconnections > 0)
-        place.handle = stream.handle === '' ? place.handle : stream.handle
-        connection.attempt.handle = place.handle ?? ''
+        const stream = await openStream(context, execution, location, { body, model, priority: placement.priority, traceparent, signal: connection.signal }, reconnections > 0)
+        location.handle = stream.handle === '' ? location.handle : stream.handle
+        connection.attempt.handle = location.handle ?? ''
         context.notes.open(execution)
-        const finished = await follow(context, execution, place.upstream.name, stream, connection.signal)
-        countRecomputed(execution, body, place, finished.usage.cached_tokens)
+        const finished = await appendEvents(context, execution, location.upstream.name, stream, connection.signal)
+        countRecomputed(execution, body, location, finished.usage.cached_tokens)
         return { kind: 'whole', end: finished, result: { kind: 'whole', usage: finished.usage } }
       } catch (error) {
         const { redirection } = connection
         if (redirection?.kind === 'attach') {
-          const next = attachTo(context, execution, place, redirection)
+          const next = attachToMovedStream(context, execution, location, redirection)
           leave?.()
           leave = context.directory.enter(next.upstream.name)
-          place = next
+          location = next
           continue
         }
         if (redirection?.kind === 'recompute') {
-          cancelStream(context, place)
-          countRecomputed(execution, body, place, 0)
+          cancelStream(context, location)
+          countRecomputed(execution, body, location, 0)
           return { kind: 'recompute' }
         }
-        if (owner.signal.reason === 'handed-over') return { kind: 'recompute' }
-        if (owner.signal.reason === 'abandoned') cancelStream(context, place)
+        if (runController.signal.reason === 'handed-over') return { kind: 'recompute' }
+        if (runController.signal.reason === 'abandoned') cancelStream(context, location)
         const failure = toServingError(error, 'may-have-run')
-        reconnections = answer.offset() > before ? 1 : reconnections + 1
-        if (!owner.signal.aborted && mayReconnect(failure, place, reconnections)) continue
-        return failed(execution, body, place, failure)
+        reconnections = answer.offset() > offsetBefore ? 1 : reconnections + 1
+        if (!runController.signal.aborted && mayReconnect(failure, location, reconnections)) continue
+        return failedEnd(execution, body, location, failure)
       } finally {
         connection.close()
       }
@@ -88,6 +88,7 @@
   }
 }
 
+/** A connection of an attempt to its stream. `redirection` is set once the attempt has been redirected. */
 interface OpenConnection {
   readonly signal: AbortSignal
   readonly attempt: OpenAttempt
@@ -95,20 +96,20 @@
   close (): void
 }
 
-/** Publishes the attempt, so that it can be redirected, and binds its connection to the owner's life. */
-function openConnection (context: ExecutionContext, execution: Execution, place: Place): OpenConnection {
+/** Registers the attempt at its execution, so that it can be redirected. Its connection closes if the run is aborted. */
+function openConnection (context: ExecutionContext, execution: Execution, location: StreamLocation): OpenConnection {
   const controller = new AbortController()
-  const abort = (): void => controller.abort(execution.owner.signal.reason)
-  if (execution.owner.signal.aborted) abort()
-  execution.owner.signal.addEventListener('abort', abort, { once: true })
+  const abort = (): void => controller.abort(execution.runController.signal.reason)
+  if (execution.runController.signal.aborted) abort()
+  execution.runController.signal.addEventListener('abort', abort, { once: true })
   let redirection: Redirection | undefined
   const attempt: OpenAttempt = {
-    upstream: place.upstream.name,
-    handle: place.handle ?? '',
+    upstream: location.upstream.name,
+    handle: location.handle ?? '',
     startedAt: context.clock.now(),
     redirect: (to) => {
       redirection ??= to
-      controller.abort(CLOSED)
+      controller.abort(CLOSED_REASON)
     }
   }
   execution.attempt = attempt
@@ -117,32 +118,36 @@
     attempt,
     get redirection () { return redirection },
     close: () => {
-      execution.owner.signal.removeEventListener('abort', abort)
-      controller.abort(CLOSED)
+      execution.runController.signal.removeEventListener('abort', abort)
+      controller.abort(CLOSED_REASON)
     }
   }
 }
 
-function openStream (context: ExecutionContext, execution: Execution, place: Place, call: EngineCall, fresh: boolean): Promise<EngineStream> {
+function openStream (context: ExecutionContext, execution: Execution, location: StreamLocation, call: EngineCall, unpooled: boolean): Promise<EngineStream> {
   const { answer } = execution
-  const engine = createEngine(fresh ? context.freshConnections : context.connections, place.upstream.address)
-  if (place.handle !== undefined) return engine.resume(place.handle, answer.offset(), call.signal)
+  const engine = createEngine(unpooled ? context.unpooledConnections : context.connections, location.upstream.address)
+  if (location.handle !== undefined) return engine.resume(location.handle, answer.offset(), call.signal)
   const continuation = answer.offset() === 0 ? {} : { continuation: { offset: answer.offset(), text: answer.text() } }
   return engine.start({ ...call, ...continuation })
 }
 
-/** Takes a connection's events into the answer, whatever order they come in. */
-async function follow (context: ExecutionContext, execution: Execution, upstream: UpstreamName, stream: EngineStream, signal: AbortSignal): Promise<Extract<EngineEvent, { kind: 'finished' }>> {
+/**
+ * Appends the events of a connection to the answer, in the order of their offsets.
+ *
+ * @throws ServingError with code `connection-lost` if the stream omits tokens or ends without a final event
+ */
+async function appendEvents (context: ExecutionContext, execution: Execution, upstream: UpstreamName, stream: EngineStream, signal: AbortSignal): Promise<Extract<EngineEvent, { kind: 'finished' }>> {
   const { answer } = execution
   const matcher = createAttemptMatcher(answer.offset())
-  matcher.begin(CONNECTION)
+  matcher.begin(ATTEMPT)
   for await (const event of stream.events) {
-    for (const effect of matcher.handle(CONNECTION, event)) {
+    for (const effect of matcher.handle(ATTEMPT, event)) {
       switch (effect.kind) {
         case 'append':
-          noteFirstToken(context, execution, upstream)
+          recordFirstToken(context, execution, upstream)
           answer.append(effect.token)
-          await answer.waitForReaders(READ_AHEAD, signal)
+          await answer.waitForReaders(MAX_UNREAD_TOKENS, signal)
           break
         case 'finish': return { kind: 'finished', finish: effect.finish, usage: effect.usage }
         case 'cancel':
@@ -153,49 +158,51 @@
   throw new ServingError('the stream ended without its final mark', { code: 'connection-lost', verdict: 'may-have-run' })
 }
 
-function noteFirstToken (context: ExecutionContext, execution: Execution, upstream: UpstreamName): void {
+function recordFirstToken (context: ExecutionContext, execution: Execution, upstream: UpstreamName): void {
   if (execution.firstTokenAt !== undefined) return
   execution.firstTokenAt = context.clock.now()
   context.dispatcher.firstToken(execution.request.id)
   context.bookkeeping.firstToken(execution, upstream)
 }
 
-function attachTo (context: ExecutionContext, execution: Execution, place: Place, redirection: Extract<Redirection, { kind: 'attach' }>): Place {
+function attachToMovedStream (context: ExecutionContext, execution: Execution, location: StreamLocation, redirection: Extract<Redirection, { kind: 'attach' }>): StreamLocation {
   const upstream = context.directory.find(redirection.upstream)
   if (upstream === undefined) throw new ServingError(`${redirection.upstream} is gone`, { code: 'no-upstream', verdict: 'may-have-run' })
-  cancelStream(context, place)
-  context.bookkeeping.movedCache(execution, place.upstream.name, upstream.name)
-  return { ...place, upstream, handle: redirection.handle }
+  cancelStream(context, location)
+  context.bookkeeping.cacheMoved(execution, location.upstream.name, upstream.name)
+  return { ...location, upstream, handle: redirection.handle }
 }
 
-/** Lost and silent connections are replaced as long as the stream has a name; refusals are final. */
-function mayReconnect (failure: ServingError, place: Place, reconnections: number): boolean {
+/** Whether to replace a lost or silent connection. This requires a handle of the stream. Refusals are final. */
+function mayReconnect (failure: ServingError, location: StreamLocation, reconnections: number): boolean {
   const lost = failure.code === 'connection-lost' || failure.code === 'timeout'
-  return lost && failure.verdict !== 'not-run' && place.handle !== undefined && reconnections <= MOST_RECONNECTIONS
+  return lost && failure.verdict !== 'not-run' && location.handle !== undefined && reconnections <= MAX_RECONNECTIONS
 }
 
 /**
- * Failure guarded against: a refused resumption of a stream that had begun looks like a request that
- * never ran. What counts is the stream: once it had a handle, the request may have run.
+ * Converts a failure of the connection to the end of the attempt.
+ *
+ * Failure guarded against: the upstream refuses to resume a stream that had started, and the refusal looks as if the
+ * request had never run. Once the stream has a handle, the verdict is therefore at least `may-have-run`.
  */
-function failed (execution: Execution, body: ChatBody, place: Place, failure: ServingError): AttemptEnd {
-  if (place.handle === undefined) return { kind: 'failed', failure, upstreamDied: false }
-  countRecomputed(execution, body, place, 0)
+function failedEnd (execution: Execution, body: ChatBody, location: StreamLocation, failure: ServingError): AttemptEnd {
+  if (location.handle === undefined) return { kind: 'failed', failure, upstreamDied: false }
+  countRecomputed(execution, body, location, 0)
   const upstreamDied = failure.verdict === 'not-run' && failure.code !== 'cancelled'
   const verdict = execution.answer.offset() > 0 ? 'ran' : 'may-have-run'
   return { kind: 'failed', failure: new ServingError(failure.message, { code: 'upstream-failed', verdict }), upstreamDied }
 }
 
-/** Tokens that this attempt computed although an earlier attempt had computed them before. */
-function countRecomputed (execution: Execution, body: ChatBody, place: Place, cachedTokens: number): void {
-  const first = !execution.computedBefore
-  execution.computedBefore = true
-  if (first || place.found) return
-  execution.recomputedTokens += Math.max(0, promptTokens(body.messages) + place.givenTokens - cachedTokens)
+/** Counts the tokens that this attempt recomputed, which means that an earlier attempt had already computed them. */
+function countRecomputed (execution: Execution, body: ChatBody, location: StreamLocation, cachedTokens: number): void {
+  const isFirstPrefill = !execution.prefilledBefore
+  execution.prefilledBefore = true
+  if (isFirstPrefill || location.found) return
+  execution.recomputedTokens += Math.max(0, promptTokens(body.messages) + location.tokensAtStart - cachedTokens)
 }
 
-/** Tells the engine that nobody wants the rest; whether it hears that is its own matter. */
-function cancelStream (context: ExecutionContext, place: Place): void {
-  if (place.handle === undefined) return
-  createEngine(context.connections, place.upstream.address).cancel(place.handle).catch(() => {})
+/** Asks the engine to cancel the stream. A failure of the call is ignored. */
+function cancelStream (context: ExecutionContext, location: StreamLocation): void {
+  if (location.handle === undefined) return
+  createEngine(context.connections, location.upstream.address).cancel(location.handle).catch(() => {})
 }
--- a/src/entry/hand-over.ts
+++ b/src/entry/hand-over.ts
@@ -11,7 +11,7 @@
 import type { HomeRecord, HomeTable, StreamPosition } from '../request/index.js'
 import { decideContinuation, decideHandOver, splitIntoMessages, verdictForOutcome } from '../request/index.js'
 import type { Execution } from './execution.js'
-import { toAnswerPart, toPart } from './forwarded.js'
+import { toAnswerPart, toForwardedPart } from './forwarded.js'
 import type { Executions } from './submission.js'
 
 /** Options of {@link handOverAll}. */
@@ -84,7 +84,7 @@
  * receives an answer that says that the call may have run.
  */
 async function abandonOpen (open: readonly Execution[]): Promise<void> {
-  for (const execution of open) execution.owner.abort('abandoned')
+  for (const execution of open) execution.runController.abort('abandoned')
   await Promise.all(open.map((execution) => execution.running))
 }
 
@@ -107,7 +107,7 @@
     recomputedTokens: handed.recomputedTokens
   }
   const end = handed.end && toAnswerEnd(handed.end)
-  if (end !== undefined) return executions.keepEnded(start, end)
+  if (end !== undefined) return executions.retainEnded(start, end)
   const continuation = decideContinuation({ request: handed.request, dispatched: handed.dispatched, tokens: handed.tokens, position: handed.position })
   switch (continuation.kind) {
     case 'run':
@@ -118,7 +118,7 @@
       executions.takeOver(start, from)
       return
     case 'give-up':
-      executions.giveUp(start, from)
+      executions.endWithUnknownOutcome(start, from)
   }
 }
 
@@ -137,7 +137,7 @@
 async function handOverBatch (options: HandOverOptions, records: Map<RequestId, HomeRecord>, batch: readonly Execution[]): Promise<void> {
   const { executions } = options
   const positions = new Map(batch.map((execution) => [execution, streamPositionOf(execution)]))
-  await Promise.all(batch.map((execution) => executions.freeze(execution)))
+  await Promise.all(batch.map((execution) => executions.suspend(execution)))
   const frozen = batch.filter((execution) => execution.answer.end() === undefined)
   const handed = await Promise.all(frozen.map((execution) => toHandedExecution(options, execution, positions.get(execution))))
   const batchRecords = takeRecords(records, frozen.map((execution) => execution.request.id))
@@ -146,7 +146,7 @@
   if (result.kind === 'nobody') for (const record of batchRecords) records.set(record.id, record)
   for (const execution of frozen) {
     if (result.kind === 'taken') executions.handedOver(execution, result.by)
-    else executions.thaw(execution, positions.get(execution))
+    else executions.resume(execution, positions.get(execution))
   }
 }
 
@@ -240,7 +240,7 @@
     ...(position === undefined ? {} : { position: { ...position, offset: tokens.length } }),
     ...(firstTokenAt === undefined ? {} : { firstTokenAge: now - firstTokenAt }),
     ...(traceparent === undefined ? {} : { traceparent }),
-    ...(end === undefined ? {} : { end: toPart(end) })
+    ...(end === undefined ? {} : { end: toForwardedPart(end) })
   }
 }
 
--- a/src/entry/liveness.ts
+++ b/src/entry/liveness.ts
@@ -20,7 +20,7 @@
 export async function isDead (context: ExecutionContext, upstream: UpstreamView): Promise<boolean> {
   const path = upstream.protocol === 'model' ? '/v1/load' : '/'
   try {
-    const response = await send(context.freshConnections, { address: upstream.address, method: 'HEAD', path, idleTimeout: PATIENCE, signal: context.signal })
+    const response = await send(context.unpooledConnections, { address: upstream.address, method: 'HEAD', path, idleTimeout: PATIENCE, signal: context.signal })
     await response.body.dump()
     return false
   } catch (error) {
--- a/src/entry/membership-keeper.ts
+++ b/src/entry/membership-keeper.ts
@@ -16,7 +16,7 @@
 import type { Random } from '../random.js'
 import type { AgreementPeers } from './agreement-peers.js'
 import type { ConfigurationKeeper } from './configuration-keeper.js'
-import { deliverTo } from './delivery.js'
+import { deliverConfiguration } from './delivery.js'
 import { followKeys } from '../protocols/key-watch.js'
 import { createPeerExchange } from './peer-exchange.js'
 import { toStamped, toViewChange } from './node-records.js'
@@ -196,9 +196,9 @@
   async function deliver (revision: ConfigurationRevision, within: Milliseconds): Promise<DeliveryReport> {
     configuration.offer(revision, 'delivery')
     const targets = upFirst(targetsOf(view.nodes()))
-    const first = await deliverTo(deliveryOptions, revision, targets, within * FIRST_ROUND)
+    const first = await deliverConfiguration(deliveryOptions, revision, targets, within * FIRST_ROUND)
     const rest = targets.filter((target) => first.includes(target.incarnation))
-    const missed = await deliverTo(deliveryOptions, revision, rest, within * (1 - FIRST_ROUND))
+    const missed = await deliverConfiguration(deliveryOptions, revision, rest, within * (1 - FIRST_ROUND))
     // A node that went meanwhile has nothing to confirm.
     const missing = missed.flatMap((incarnation) => view.find(incarnation) ?? [])
     const unheard = view.vanished(clock.now())
@@ -285,7 +285,7 @@
       deliver: async (delivery) => {
         configuration.heard()
         configuration.offer(delivery.configuration, 'delivery')
-        const missing = await deliverTo(deliveryOptions, delivery.configuration, delivery.below, timeForSubtree(delivery.within_ms))
+        const missing = await deliverConfiguration(deliveryOptions, delivery.configuration, delivery.below, timeForSubtree(delivery.within_ms))
         return { revision: configuration.revision(), missing }
       }
     },
--- a/src/entry/node.ts
+++ b/src/entry/node.ts
@@ -126,9 +126,9 @@
     dispatcher: createDispatcher({ scheduler: createScheduler({ random, node: settings.instance }), directory, configuration: currentConfiguration, clock }),
     bookkeeping: createBookkeeping({ ledger, facts, metrics, clock, configuration: currentConfiguration }),
     tracing,
-    retries: createRetryPolicy(),
+    retryPolicy: createRetryPolicy(),
     connections,
-    freshConnections,
+    unpooledConnections: freshConnections,
     configuration: currentConfiguration,
     usable: () => configuration.usable(clock.now()),
     mayDispatch: (id) => home.mayDispatch(id),
@@ -195,7 +195,7 @@
     log,
     signal
   })
-  const relay = createRelay({ own: incarnation, peers, freshPeers, membership: () => membership, clock })
+  const relay = createRelay({ own: incarnation, peers, unpooledPeers: freshPeers, membership: () => membership, clock })
   const claims = createClaimKeeper({ keyValue, clock, signal, pause: () => writePause(membership.count()) })
   const routing = createRouting({ context, executions, relay, claims })
   registerCallerApi(service, {
--- a/src/entry/parts.ts
+++ b/src/entry/parts.ts
@@ -1,4 +1,4 @@
-/** The parts of an entry node, by their interfaces; what works on them need not know how they are put together. */
+/** Components of an entry node by their interfaces, independent of how the components are created. */
 import type { Clock } from '../clock.js'
 import type { Log } from '../log.js'
 import type { EntryMetrics } from '../metrics.js'
@@ -16,13 +16,13 @@
 import type { Executions } from './submission.js'
 import type { UpstreamDirectory } from './upstream-directory.js'
 
-/** What a node is made of, for its keepers and for tests. */
+/** Components of an entry node, for its background tasks and for tests. */
 export interface EntryParts {
   readonly settings: EntrySettings
   readonly clock: Clock
   readonly random: Random
   readonly log: Log
-  /** The node's life. */
+  /** Aborts when the node stops. */
   readonly signal: AbortSignal
   readonly keyValue: KeyValue
   readonly peers: Peers
--- a/src/entry/plain-call.ts
+++ b/src/entry/plain-call.ts
@@ -1,4 +1,4 @@
-/** One attempt of a plain call. */
+/** One attempt of a call to a plain service. */
 import { callPlainService } from '../protocols/plain-service.js'
 import type { PlainCall } from '../request/index.js'
 import { ServingError, toServingError } from '../verdict.js'
@@ -10,27 +10,27 @@
 const NO_TOKENS = { prompt_tokens: 0, completion_tokens: 0, cached_tokens: 0 }
 
 /**
- * Passes a call through to a plain service.
+ * Forwards a call to a plain service.
  *
- * Failure guarded against: a pooled connection that the network has forgotten swallows a call, and
- * its outcome stays unknown. Calls that may not be repeated therefore get a connection of their own.
+ * Failure guarded against: a call is sent on a pooled connection that the network has silently dropped, so its outcome
+ * remains unknown. Calls that must not be repeated therefore use a new connection each.
  *
  * @example
  * const end = await callPlain(context, execution, placement, call, traceparent)
  */
 export async function callPlain (context: ExecutionContext, execution: Execution, placement: Placement, call: PlainCall, traceparent: string): Promise<AttemptEnd> {
   const { upstream } = placement
-  const connections = execution.request.idempotent ? context.connections : context.freshConnections
+  const connections = execution.request.idempotent ? context.connections : context.unpooledConnections
   execution.attempt = { upstream: upstream.name, handle: '', startedAt: context.clock.now(), redirect: () => {} }
   try {
-    const response = await callPlainService(connections, upstream.address, call, { signal: execution.owner.signal, traceparent })
+    const response = await callPlainService(connections, upstream.address, call, { signal: execution.runController.signal, traceparent })
     return { kind: 'whole', end: { kind: 'plain', response }, result: { kind: 'whole', usage: NO_TOKENS } }
   } catch (error) {
-    const failure = execution.owner.signal.aborted ? endedFailure() : toServingError(error, 'may-have-run')
+    const failure = execution.runController.signal.aborted ? abortedFailure() : toServingError(error, 'may-have-run')
     return { kind: 'failed', failure, upstreamDied: false }
   }
 }
 
-function endedFailure (): ServingError {
+function abortedFailure (): ServingError {
   return new ServingError('this node ended before the call did', { code: 'outcome-unknown', verdict: 'may-have-run' })
 }
--- a/src/entry/reclaims.ts
+++ b/src/entry/reclaims.ts
@@ -63,7 +63,7 @@
     notices,
     coordinator,
     streams: options.streams,
-    findOpenExecution: options.executions.openOf,
+    findOpenExecution: options.executions.findOpen,
     own: membership.own,
     nodes: () => membership.nodes().filter((node) => !node.leaving && !membership.isDown(node.incarnation)),
     peers: options.peers,
--- a/src/entry/request-handlers.ts
+++ b/src/entry/request-handlers.ts
@@ -1,4 +1,4 @@
-/** What this node does when peers ask about requests: the home's side of a forwarded send. */
+/** Handlers for the requests that peers forward to this node, and for the tables that they hand over to it. */
 import type { Clock, Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { Incarnation } from '../identifiers.js'
@@ -9,22 +9,26 @@
 import { toServingError } from '../verdict.js'
 import { localSource } from './answer-source.js'
 import type { AnswerSource } from './answer-source.js'
-import { toPart } from './forwarded.js'
+import { toForwardedPart } from './forwarded.js'
 import { continueHandedOver } from './hand-over.js'
-import type { Executions, Located } from './submission.js'
+import type { Executions, RequestLocation } from './submission.js'
 
-/** A forwarded answer without news shows this often that its home lives. */
-export const FORWARD_KEEP_ALIVE: Milliseconds = 2 * SECOND
+/** Period of the keep-alives on a forwarded answer that has no new part. */
+export const FORWARD_KEEP_ALIVE_PERIOD: Milliseconds = 2 * SECOND
 
 /**
+ * Creates the handlers of a node.
+ *
+ * @param options `stopping` returns whether the node refuses tables from now on. `onHandOver` is called with the sender
+ *   of each table before the table is taken over.
  * @example
  * createPeerServer(settings.peer_key, { agreement, request: createRequestHandlers({ executions, home, clock, stopping, onHandOver }) })
  */
 export function createRequestHandlers (options: { executions: Executions, home: HomeTable, clock: Clock, stopping: () => boolean, onHandOver: (from: Incarnation) => void }): RequestHandlers {
   const { executions, home, clock } = options
 
-  /** A refusal is a part, too: as a tRPC error it would lose its verdict. */
-  async function * forward (locate: () => Located, offset: number, signal: AbortSignal): AsyncIterable<ForwardedPart> {
+  /** Yields a refusal as a message of the stream, because a tRPC error would lose the verdict. */
+  async function * forward (locate: () => RequestLocation, offset: number, signal: AbortSignal): AsyncIterable<ForwardedPart> {
     try {
       const located = locate()
       if (located.kind === 'elsewhere') {
@@ -44,9 +48,9 @@
     handOver: (handOver) => {
       if (options.stopping()) return { taken: false }
       options.onHandOver(handOver.from)
-      const fresh = new Set(home.takeOver(handOver.from, handOver.records, clock.now()))
+      const newIds = new Set(home.takeOver(handOver.from, handOver.records, clock.now()))
       for (const handed of handOver.executions) {
-        if (fresh.has(handed.request.id)) continueHandedOver(executions, handed, handOver.from)
+        if (newIds.has(handed.request.id)) continueHandedOver(executions, handed, handOver.from)
       }
       return { taken: true }
     },
@@ -57,15 +61,16 @@
   }
 }
 
-type Step = IteratorResult<AnswerPart> | 'accepted' | 'waiting'
+/** Next event of a forwarded answer. `waiting` stands for a keep-alive. */
+type ForwardStep = IteratorResult<AnswerPart> | 'accepted' | 'waiting'
 
 async function * withKeepAlive (source: AnswerSource, offset: number, signal: AbortSignal): AsyncIterable<ForwardedPart> {
   const parts = source.read(offset, signal)[Symbol.asyncIterator]()
-  let accepted: Promise<Step> | undefined = source.accepted.then(() => 'accepted' as const)
+  let accepted: Promise<ForwardStep> | undefined = source.accepted.then(() => 'accepted' as const)
   let next = parts.next()
   try {
     for (;;) {
-      const step = await firstOf(next, accepted, FORWARD_KEEP_ALIVE)
+      const step = await nextStep(next, accepted, FORWARD_KEEP_ALIVE_PERIOD)
       if (step === 'waiting') {
         yield { kind: 'waiting' }
       } else if (step === 'accepted') {
@@ -73,7 +78,7 @@
         yield { kind: 'accepted' }
       } else {
         if (step.done === true) return
-        yield toPart(step.value)
+        yield toForwardedPart(step.value)
         next = parts.next()
       }
     }
@@ -82,10 +87,11 @@
   }
 }
 
-function firstOf (next: Promise<Step>, accepted: Promise<Step> | undefined, patience: Milliseconds): Promise<Step> {
+/** Resolves with the first event, or with `waiting` after the timeout. */
+function nextStep (next: Promise<ForwardStep>, accepted: Promise<ForwardStep> | undefined, timeout: Milliseconds): Promise<ForwardStep> {
   return new Promise((resolve, reject) => {
-    const timer = setTimeout(() => resolve('waiting'), patience)
-    const settle = (step: Step): void => {
+    const timer = setTimeout(() => resolve('waiting'), timeout)
+    const settle = (step: ForwardStep): void => {
       clearTimeout(timer)
       resolve(step)
     }
--- a/src/entry/routing.ts
+++ b/src/entry/routing.ts
@@ -1,4 +1,4 @@
-/** Brings every send and every lookup to the node that may decide about it. */
+/** Routes submissions and lookups to the node that decides about the request id. */
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import { sha256 } from '../credentials.js'
@@ -11,36 +11,48 @@
 import type { ClaimKeeper } from './claim-keeper.js'
 import type { ExecutionContext } from './context.js'
 import type { Relay } from './relay.js'
-import type { Executions, Located, Reservation } from './submission.js'
+import type { Executions, RequestLocation, Reservation } from './submission.js'
 
-/** A request as it was received. */
-export interface Received {
+/** A request as received from a caller. */
+export interface ReceivedRequest {
   readonly request: Request
-  /** Set when the caller named the request by a key and not by an id. */
+  /** Set if the caller identified the request by an idempotency key instead of an id. */
   readonly idempotencyKey: string | undefined
   readonly traceparent: string | undefined
 }
 
-/** Sends and lookups of callers that are connected to this node. */
+/** Submissions and lookups of callers that are connected to this node. */
 export interface Routing {
-  /** @throws ServingError with its verdict when the request is neither run nor known */
-  submit (received: Received): Promise<AnswerSource>
+  /**
+   * Runs a request, or finds its existing answer.
+   *
+   * @throws ServingError with the verdict if the request is neither run nor known
+   */
+  submit (received: ReceivedRequest): Promise<AnswerSource>
+  /**
+   * Finds the answer of a request.
+   *
+   * @throws ServingError with the verdict if the answer is not available
+   */
   attach (organisation: OrganisationName, id: RequestId, offset: number): Promise<AnswerSource>
 }
 
-/** Claims of one send; more mean that others keep replacing refused owners of the same key. */
-const MOST_CLAIMS = 3
+/** Maximum number of claims per submission. More are needed only if others keep replacing refused owners of the key. */
+const MAX_CLAIMS = 3
 
+/** Delay after which a caller may retry if too many keys are claimed. */
 const RETRY_AFTER: Milliseconds = SECOND
 
 /**
+ * Creates the routing of a node.
+ *
  * @example
  * const source = await createRouting({ context, executions, relay, claims }).submit(received)
  */
 export function createRouting (options: { context: ExecutionContext, executions: Executions, relay: Relay, claims: ClaimKeeper }): Routing {
   const { context, executions, relay, claims } = options
 
-  function submit ({ request, traceparent }: Received): AnswerSource {
+  function submit ({ request, traceparent }: ReceivedRequest): AnswerSource {
     return sourceOf(executions.submit(request, traceparent), { kind: 'send', request, traceparent })
   }
 
@@ -48,22 +60,23 @@
     return sourceOf(executions.find(organisation, id), { kind: 'lookup', organisation, id })
   }
 
-  function sourceOf (located: Located, wanted: Parameters<Relay['source']>[0]): AnswerSource {
+  function sourceOf (located: RequestLocation, operation: Parameters<Relay['source']>[0]): AnswerSource {
     switch (located.kind) {
       case 'here': return localSource(located.execution, context.clock)
-      case 'elsewhere': return relay.source(wanted, located.incarnation)
+      case 'elsewhere': return relay.source(operation, located.incarnation)
     }
   }
 
   /**
-   * A key without a home may arrive at any node, so it is claimed in the key-value service before its
-   * request runs. The id is in the home table first: whoever reads the claim finds it there.
+   * Submits a request that is identified by a key. A key has no home and may arrive at several nodes, so the key is
+   * claimed in the key-value service before the request runs. The id is recorded in the home table before the claim.
+   * Every node that reads the claim can therefore find the id there.
    */
-  async function submitKeyed (received: Received, key: string): Promise<AnswerSource> {
+  async function submitKeyed (received: ReceivedRequest, key: string): Promise<AnswerSource> {
     const { request, traceparent } = received
     const reservation = executions.reserve(request, traceparent)
     try {
-      return await claimFor(reservation, request, claimKey(request.organisation, key, sha256))
+      return await claimAndStart(reservation, request, claimKey(request.organisation, key, sha256))
     } catch (error) {
       const failure = toServingError(error, 'not-run')
       reservation.abandon(failure)
@@ -71,18 +84,19 @@
     }
   }
 
-  async function claimFor (reservation: Reservation, request: Request, key: string): Promise<AnswerSource> {
+  /** Claims the key and starts the request. If another request owns the key, returns the answer of the owner. */
+  async function claimAndStart (reservation: Reservation, request: Request, key: string): Promise<AnswerSource> {
     let replaces: RequestId | undefined
     for (let round = 1; ; round += 1) {
-      const wanted = { key, id: request.id, fingerprint: request.fingerprint, ...(replaces === undefined ? {} : { replaces }) }
-      const result = await claims.claim(wanted)
+      const claim = { key, id: request.id, fingerprint: request.fingerprint, ...(replaces === undefined ? {} : { replaces }) }
+      const result = await claims.claim(claim)
       switch (result.kind) {
         case 'won': return localSource(reservation.start(), context.clock)
         case 'conflict': throw new ServingError('this Idempotency-Key was used with another body', { code: 'conflict', verdict: 'not-run' })
         case 'full': throw new ServingError('too many keys are claimed now', { code: 'overloaded', verdict: 'not-run', retryAfter: RETRY_AFTER })
         case 'owned': {
           const owner = attach(request.organisation, result.id)
-          if (round >= MOST_CLAIMS || !await isRefused(owner, context.signal)) {
+          if (round >= MAX_CLAIMS || !await isProvenNotRun(owner, context.signal)) {
             reservation.abandon(undefined)
             return owner
           }
@@ -102,8 +116,8 @@
   }
 }
 
-/** Whether the owner of a key is proven not to have run, so that the key is free again. */
-async function isRefused (owner: AnswerSource, signal: AbortSignal): Promise<boolean> {
+/** Whether the owner of a key is proven not to have run. The key may then be claimed again. */
+async function isProvenNotRun (owner: AnswerSource, signal: AbortSignal): Promise<boolean> {
   const first = await firstPart(owner, signal)
   return first?.kind === 'failed' && first.failure.verdict === 'not-run'
 }
--- a/src/entry/scheduler-feed.ts
+++ b/src/entry/scheduler-feed.ts
@@ -1,4 +1,4 @@
-/** Feeds the scheduler: upstreams, load, cache events, node count and time. */
+/** Feeds the scheduler with upstreams, load reports, cache events, the number of nodes and ticks. */
 import type { Clock, Milliseconds } from '../clock.js'
 import { every, SECOND } from '../clock.js'
 import type { InstanceName, UpstreamName } from '../identifiers.js'
@@ -10,14 +10,14 @@
 import type { Dispatcher } from './dispatcher.js'
 import type { UpstreamDirectory } from './upstream-directory.js'
 
-/** Where the feed takes its news from. */
+/** Options of the scheduler feed. */
 export interface SchedulerFeedOptions {
   readonly dispatcher: Dispatcher
   readonly directory: UpstreamDirectory
-  /** Name of this node: of a large service it follows only the part that it uses. */
+  /** Name of this node. It determines which upstreams of a large service the node uses and polls. */
   readonly node: InstanceName
   readonly connections: Connections
-  /** Entry nodes that share the upstreams, this one included. */
+  /** Number of entry nodes that share the upstreams, including this node. */
   readonly nodeCount: () => number
   readonly clock: Clock
   readonly signal: AbortSignal
@@ -26,35 +26,37 @@
 const TICK_PERIOD: Milliseconds = 50
 const LOAD_PERIOD: Milliseconds = SECOND
 
-/** Cache events are late anyway and only shift an estimate; load decides. */
+/** Cache events arrive late in any case and only adjust an estimate. Decisions depend mainly on the load reports. */
 const CACHE_PERIOD: Milliseconds = 2 * SECOND
 const NODE_COUNT_PERIOD: Milliseconds = SECOND
 
 /**
+ * Starts the feed. It runs until the signal aborts. Failures of single polls are ignored.
+ *
  * @example
  * startSchedulerFeed({ dispatcher, directory, node, connections, nodeCount, clock, signal })
  */
 export function startSchedulerFeed (options: SchedulerFeedOptions): void {
   const { dispatcher, directory, connections, clock, signal } = options
   const cacheSequences = new Map<UpstreamName, number>()
-  let nodes = 0
+  let lastNodeCount = 0
 
-  function models (): readonly UpstreamView[] {
+  function modelUpstreams (): readonly UpstreamView[] {
     const used = usedUpstreams(options.node, directory.views(), Math.max(1, options.nodeCount()))
     return used.filter((view) => view.protocol === 'model')
   }
 
   async function pollLoads (): Promise<void> {
-    await Promise.allSettled(models().map(pollLoad))
+    await Promise.allSettled(modelUpstreams().map(pollLoad))
   }
 
   async function pollCaches (): Promise<void> {
-    const present = models()
-    forgetGone(present)
+    const present = modelUpstreams()
+    dropRemovedUpstreams(present)
     await Promise.allSettled(present.map(pollCache))
   }
 
-  function forgetGone (present: readonly UpstreamView[]): void {
+  function dropRemovedUpstreams (present: readonly UpstreamView[]): void {
     const names = new Set(present.map((view) => view.name))
     for (const upstream of cacheSequences.keys()) {
       if (!names.has(upstream)) cacheSequences.delete(upstream)
@@ -65,38 +67,38 @@
     const report = await createEngine(connections, view.address).load(signal)
     if (report.upstream !== view.name) return
     if (report.leaving) directory.markLeaving(view.name, 'engine')
-    dispatcher.feed({ kind: 'load', report })
+    dispatcher.notify({ kind: 'load', report })
   }
 
   async function pollCache (view: UpstreamView): Promise<void> {
     const after = cacheSequences.get(view.name) ?? 0
     const { events, next } = await createEngine(connections, view.address).cacheEvents(after, signal)
     cacheSequences.set(view.name, next)
-    if (events.length > 0) dispatcher.feed({ kind: 'cache', upstream: view.name, ...summarise(events, after) })
+    if (events.length > 0) dispatcher.notify({ kind: 'cache', upstream: view.name, ...summarise(events, after) })
   }
 
   function tick (): void {
-    dispatcher.feed({ kind: 'tick' })
+    dispatcher.notify({ kind: 'tick' })
   }
 
   function countNodes (): void {
     const count = options.nodeCount()
-    if (count === nodes) return
-    nodes = count
-    dispatcher.feed({ kind: 'nodes', count })
+    if (count === lastNodeCount) return
+    lastNodeCount = count
+    dispatcher.notify({ kind: 'nodes', count })
   }
 
-  const quiet = (): void => {}
-  directory.notices.on('changed', (views) => dispatcher.feed({ kind: 'upstreams', upstreams: views }))
-  dispatcher.feed({ kind: 'upstreams', upstreams: directory.views() })
+  const ignoreFailure = (): void => {}
+  directory.notices.on('changed', (views) => dispatcher.notify({ kind: 'upstreams', upstreams: views }))
+  dispatcher.notify({ kind: 'upstreams', upstreams: directory.views() })
   tick()
-  every(clock, TICK_PERIOD, signal, tick, quiet).catch(quiet)
-  every(clock, LOAD_PERIOD, signal, pollLoads, quiet).catch(quiet)
-  every(clock, CACHE_PERIOD, signal, pollCaches, quiet).catch(quiet)
-  every(clock, NODE_COUNT_PERIOD, signal, countNodes, quiet).catch(quiet)
+  every(clock, TICK_PERIOD, signal, tick, ignoreFailure).catch(ignoreFailure)
+  every(clock, LOAD_PERIOD, signal, pollLoads, ignoreFailure).catch(ignoreFailure)
+  every(clock, CACHE_PERIOD, signal, pollCaches, ignoreFailure).catch(ignoreFailure)
+  every(clock, NODE_COUNT_PERIOD, signal, countNodes, ignoreFailure).catch(ignoreFailure)
 }
 
-/** What a run of events adds up to; events that are missing from it are a gap. */
+/** Net effect of a sequence of cache events. `gap` is set if events are missing from the sequence. */
 function summarise (events: readonly CacheEvent[], after: number): { stored: string[], evicted: string[], gap: boolean } {
   const stored = new Set<string>()
   const evicted = new Set<string>()
--- a/src/entry/stopping.ts
+++ b/src/entry/stopping.ts
@@ -116,7 +116,7 @@
   server.close()
   const flushDeadline = Math.min(deadline, clock.now() + FLUSH_TIMEOUT)
   while (!signal.aborted && await countConnections(server) > 0) {
-    if (clock.now() >= deadline || (clock.now() >= flushDeadline && executions.beingRead() === 0)) return
+    if (clock.now() >= deadline || (clock.now() >= flushDeadline && executions.countBeingRead() === 0)) return
     server.closeIdleConnections()
     await clock.sleep(POLL_PERIOD, signal).catch(() => {})
   }
--- a/src/entry/streams.ts
+++ b/src/entry/streams.ts
@@ -1,4 +1,4 @@
-/** The open streams of one node as decisions about reclaims see them, and the ways to move them. */
+/** Open streams of one node, with the operations that move them when an upstream is reclaimed. */
 import type { Milliseconds } from '../clock.js'
 import type { RequestId, UpstreamName } from '../identifiers.js'
 import { createEngine } from '../protocols/engine.js'
@@ -7,39 +7,45 @@
 import type { Execution } from './execution.js'
 import type { Executions } from './submission.js'
 
-/** An attempt that runs at an upstream. */
+/** An attempt that is running at an upstream. */
 export interface OpenStream {
   readonly id: RequestId
   readonly upstream: UpstreamName
-  /** The upstream's name for the stream; empty for plain services and before the stream has begun. */
+  /** Handle that the upstream assigned to the stream. Empty for plain services and before the stream has started. */
   readonly handle: string
   readonly kind: 'model' | 'plain'
   readonly idempotent: boolean
-  /** Tokens of the answer so far. */
+  /** Number of tokens of the answer so far. */
   readonly offset: number
-  /** Estimated tokens of the prompt. */
+  /** Estimated number of tokens of the prompt. */
   readonly promptTokens: number
-  /** Most tokens the answer can have. */
+  /** Maximum number of tokens of the answer. */
   readonly maxTokens: number
   readonly startedAt: Milliseconds
 }
 
-/** Moves of open streams. */
+/** Operations on open streams. */
 export interface Streams {
-  /** Attempts that run at an upstream now. */
+  /** Attempts that are running at the upstream. */
   openAt (upstream: UpstreamName): readonly OpenStream[]
   /**
-   * Exports a stream's cache to another engine and goes on there without computing anything again.
+   * Exports the cache of a stream to another engine and continues the stream there. No token is recomputed.
    *
-   * @returns false when the stream has ended or left meanwhile
-   * @throws ServingError when the export fails; the stream stays where it is
+   * @returns false if the stream does not exist, or has ended or moved during the export
+   * @throws ServingError if the export fails. The stream continues at its upstream.
    */
   moveTo (id: RequestId, target: UpstreamName, signal: AbortSignal): Promise<boolean>
-  /** Leaves the stream and runs the rest elsewhere from prompt and tokens so far. @returns false when there is none */
+  /**
+   * Leaves the stream. The request continues at another upstream, which prefills the prompt and the tokens so far.
+   *
+   * @returns false if the request has no running attempt
+   */
   recompute (id: RequestId): boolean
 }
 
 /**
+ * Creates the operations on the streams of a node.
+ *
  * @example
  * for (const stream of createStreams(context, executions).openAt(upstream)) decide(stream)
  */
@@ -47,18 +53,18 @@
   return {
     openAt: (upstream) => executions.open().flatMap((execution) => toOpenStream(execution, upstream)),
     moveTo: async (id, target, signal) => {
-      const attempt = executions.openOf(id)?.attempt
+      const attempt = executions.findOpen(id)?.attempt
       const from = attempt && context.directory.find(attempt.upstream)
       const to = context.directory.find(target)
       if (attempt === undefined || from === undefined || to === undefined || attempt.handle === '') return false
       const exported = await createEngine(context.connections, from.address).exportCache(attempt.handle, to.address, signal)
-      const current = executions.openOf(id)?.attempt
+      const current = executions.findOpen(id)?.attempt
       if (current === undefined || current.upstream !== from.name) return false
       current.redirect({ kind: 'attach', upstream: target, handle: exported.handle })
       return true
     },
     recompute: (id) => {
-      const attempt = executions.openOf(id)?.attempt
+      const attempt = executions.findOpen(id)?.attempt
       attempt?.redirect({ kind: 'recompute' })
       return attempt !== undefined
     }
--- a/src/entry/submission.ts
+++ b/src/entry/submission.ts
@@ -1,4 +1,4 @@
-/** The requests of one node: submission, lookup, and the end of each. */
+/** The requests of one node: submission, lookup, hand-over and end. */
 import type { Milliseconds } from '../clock.js'
 import { every, SECOND } from '../clock.js'
 import type { Incarnation, OrganisationName, RequestId } from '../identifiers.js'
@@ -11,71 +11,87 @@
 import type { Execution, ExecutionStart } from './execution.js'
 import { createRetention } from './retention.js'
 
-/** Where a send or a lookup of an id is answered. */
-export type Located =
+/** Node at which the submission or lookup of an id is answered. */
+export type RequestLocation =
   | { kind: 'here', execution: Execution }
-  /** Another node decides. */
+  /** Another node decides about the id. */
   | { kind: 'elsewhere', incarnation: Incarnation }
 
 /** The executions of one node. */
 export interface Executions {
   /**
-   * Starts a new request, or finds the execution it already has.
+   * Starts a new request, or finds its existing execution.
    *
-   * @throws ServingError with the verdict of what became of it, when neither is possible
+   * @throws ServingError with the verdict of the request if neither is possible
+   */
+  submit (request: Request, traceparent?: string): RequestLocation
+  /**
+   * Records a new request without running it, while its idempotency key is being claimed.
+   *
+   * @throws ServingError with the verdict of the request if the id is not new or the node is stopping
    */
-  submit (request: Request, traceparent?: string): Located
-  /** Records a new request without running it yet, while its key is being claimed. */
   reserve (request: Request, traceparent?: string): Reservation
-  /** @throws ServingError with the verdict of what became of it, when its answer is not here */
-  find (organisation: OrganisationName, id: RequestId): Located
-  /** Goes on with a request of another node that this node has inherited. */
+  /**
+   * Finds a request by its id.
+   *
+   * @throws ServingError with the verdict of the request if its answer is not available at this node
+   */
+  find (organisation: OrganisationName, id: RequestId): RequestLocation
+  /** Continues a request that this node has taken over from another node. */
   takeOver (start: ExecutionStart, from: string): Execution
   /** Executions whose answers have not ended. */
   open (): readonly Execution[]
-  openOf (id: RequestId): Execution | undefined
-  /** Ended executions whose answers can still be read, the latest of them within a bound on their number. */
+  /** The execution of an id, if its answer has not ended. */
+  findOpen (id: RequestId): Execution | undefined
+  /** The most recent ended executions whose answers can still be read. Their number is limited. */
   readable (): readonly Execution[]
-  /** Ended executions that some caller is still reading. */
-  beingRead (): number
-  /** Ends a request of another node whose outcome nobody can tell. */
-  giveUp (start: ExecutionStart, from: string): void
-  /** Keeps an answer that ended at another node and can still be read. */
-  keepEnded (start: ExecutionStart, end: AnswerEnd): void
-  /** Stops the run without ending the answer. Resolves when nothing of it goes on here. */
-  freeze (execution: Execution): Promise<void>
-  /** Goes on with a frozen execution. */
-  thaw (execution: Execution, position: StreamPosition | undefined): void
-  /** Ends a frozen execution here: another node goes on with it. */
+  /** Number of ended executions whose answers are still being read. */
+  countBeingRead (): number
+  /** Ends a request of another node whose outcome cannot be determined. Its verdict is `may-have-run`. */
+  endWithUnknownOutcome (start: ExecutionStart, from: string): void
+  /** Retains an answer that ended at another node, so that it can still be read. */
+  retainEnded (start: ExecutionStart, end: AnswerEnd): void
+  /** Stops the run without ending the answer. Resolves when the run has stopped. */
+  suspend (execution: Execution): Promise<void>
+  /** Continues a suspended execution at this node. */
+  resume (execution: Execution, position: StreamPosition | undefined): void
+  /** Ends a suspended execution at this node. Another node continues the request. */
   handedOver (execution: Execution, to: string): void
+  /** Number of open executions, and number and estimated bytes of retained answers. */
   usage (): { open: number, answers: number, bytes: number }
 }
 
-/** A request that is recorded and does not run yet. */
+/** A request that is recorded but does not run yet. */
 export interface Reservation {
+  /** Runs the request. */
   start (): Execution
   /**
-   * Never runs it. Its id stays refused.
+   * Refuses the request. Its id remains refused and never runs.
    *
-   * @param failure what the caller is told; undefined when the caller is answered by another request
+   * @param failure failure to report to the caller; undefined if the caller receives the answer of another request
    */
   abandon (failure: ServingError | undefined): void
 }
 
-/** A caller that is gone for longer than this does not resume; the rest of its answer is cancelled. */
+/** Maximum time without a reader. The caller is then assumed not to resume, and the rest of the answer is cancelled. */
 export const RESUMPTION_GRACE: Milliseconds = 30 * SECOND
 
-/** Memory for ended answers. */
-const ANSWER_BYTES = 67_108_864
+/** Limit of the estimated memory for ended answers. */
+const MAX_ANSWER_BYTES = 67_108_864
 
-/** Ended answers that a successor is given. */
-const MOST_READABLE = 256
+/** Maximum number of ended answers that a successor receives. */
+const MAX_READABLE = 256
 
+/** Period in which expired answers and requests without readers are looked for. */
 const SWEEP_PERIOD: Milliseconds = 5 * SECOND
-const STOPPING_RETRY: Milliseconds = SECOND
+
+/** Delay after which a caller may retry a request that was refused because the node is stopping. */
+const STOPPING_RETRY_AFTER: Milliseconds = SECOND
 
 /**
- * @param home decides which ids run here
+ * Creates the executions of a node, and starts the periodic search for expired and abandoned requests.
+ *
+ * @param home decides which ids run at this node
  * @example
  * const located = createExecutions(context, home).submit(request)
  * if (located.kind === 'here') for await (const part of located.execution.answer.read(0, signal)) send(part)
@@ -83,15 +99,15 @@
 export function createExecutions (context: ExecutionContext, home: HomeTable): Executions {
   const { clock, signal } = context
   const open = new Map<RequestId, Execution>()
-  const retention = createRetention(ANSWER_BYTES)
+  const retention = createRetention(MAX_ANSWER_BYTES)
 
   function run (execution: Execution): Execution {
     open.set(execution.request.id, execution)
-    started(execution)
+    startRun(execution)
     return execution
   }
 
-  function started (execution: Execution): void {
+  function startRun (execution: Execution): void {
     execution.running = runAttempts(context, execution).then((end) => {
       if (end !== undefined) settle(execution, end)
     }, () => {})
@@ -105,6 +121,7 @@
     settle(execution, end)
   }
 
+  /** Records the outcome of an execution and retains its answer. */
   function settle (execution: Execution, end: AnswerEnd): void {
     const { id } = execution.request
     open.delete(id)
@@ -114,7 +131,7 @@
     retention.keep(execution)
   }
 
-  function locate (id: RequestId, decision: Exclude<SubmissionDecision, { kind: 'run' }>): Located {
+  function locate (id: RequestId, decision: Exclude<SubmissionDecision, { kind: 'run' }>): RequestLocation {
     switch (decision.kind) {
       case 'attach': {
         const execution = open.get(id) ?? retention.find(id)
@@ -123,24 +140,24 @@
       }
       case 'ask-home': return { kind: 'elsewhere', incarnation: decision.incarnation }
       case 'ended': {
-        const kept = retention.find(id)
-        if (kept !== undefined) return { kind: 'here', execution: kept }
-        throw decision.ended.outcome.kind === 'served' ? goneFailure() : submissionFailure(decision, STOPPING_RETRY)
+        const retained = retention.find(id)
+        if (retained !== undefined) return { kind: 'here', execution: retained }
+        throw decision.ended.outcome.kind === 'served' ? goneFailure() : submissionFailure(decision, STOPPING_RETRY_AFTER)
       }
-      default: throw submissionFailure(decision, STOPPING_RETRY)
+      default: throw submissionFailure(decision, STOPPING_RETRY_AFTER)
     }
   }
 
   function sweep (): void {
     for (const id of home.expire(clock.now())) retention.drop(id)
     for (const execution of open.values()) {
-      if (isAbandoned(execution, clock.now())) execution.owner.abort('abandoned')
+      if (isAbandoned(execution, clock.now())) execution.runController.abort('abandoned')
     }
   }
 
   every(clock, SWEEP_PERIOD, signal, sweep, () => {}).catch(() => {})
   signal.addEventListener('abort', () => {
-    for (const execution of open.values()) execution.owner.abort(signal.reason)
+    for (const execution of open.values()) execution.runController.abort(signal.reason)
   }, { once: true })
 
   return {
@@ -152,12 +169,12 @@
     reserve: (request, traceparent) => {
       const decision = home.submit(request, clock.now())
       if (decision.kind === 'attach' || decision.kind === 'ask-home') throw new ServingError('the id is taken', { code: 'conflict', verdict: 'not-run' })
-      if (decision.kind !== 'run') throw submissionFailure(decision, STOPPING_RETRY)
+      if (decision.kind !== 'run') throw submissionFailure(decision, STOPPING_RETRY_AFTER)
       const execution = createExecution({ request, traceparent }, clock)
       open.set(request.id, execution)
       return {
         start: () => {
-          started(execution)
+          startRun(execution)
           return execution
         },
         abandon: (failure) => abandon(execution, failure)
@@ -166,11 +183,11 @@
     find: (organisation, id) => {
       const decision = home.find(organisation, id)
       if (decision.kind !== 'run') return locate(id, decision)
-      throw submissionFailure({ kind: 'forgotten' }, STOPPING_RETRY)
+      throw submissionFailure({ kind: 'forgotten' }, STOPPING_RETRY_AFTER)
     },
     takeOver: (start, from) => {
-      const known = open.get(start.request.id)
-      if (known !== undefined) return known
+      const existing = open.get(start.request.id)
+      if (existing !== undefined) return existing
       const execution = createExecution(start, clock)
       if (start.accepted) {
         execution.accept()
@@ -179,10 +196,10 @@
       return run(execution)
     },
     open: () => [...open.values()],
-    openOf: (id) => open.get(id),
-    readable: () => [...retention.all()].slice(-MOST_READABLE),
-    beingRead: () => [...retention.all()].filter((execution) => execution.readers > 0).length,
-    giveUp: (start, from) => {
+    findOpen: (id) => open.get(id),
+    readable: () => [...retention.all()].slice(-MAX_READABLE),
+    countBeingRead: () => [...retention.all()].filter((execution) => execution.readers > 0).length,
+    endWithUnknownOutcome: (start, from) => {
       const execution = createExecution(start, clock)
       execution.accept()
       context.bookkeeping.takenOver(execution, from)
@@ -192,19 +209,19 @@
       context.bookkeeping.ended(execution, end)
       settle(execution, end)
     },
-    keepEnded: (start, end) => {
+    retainEnded: (start, end) => {
       const execution = createExecution(start, clock)
       execution.answer.close(end)
       retention.keep(execution)
     },
-    freeze: (execution) => {
-      execution.owner.abort('handed-over')
+    suspend: (execution) => {
+      execution.runController.abort('handed-over')
       return execution.running
     },
-    thaw: (execution, position) => {
-      execution.owner = new AbortController()
+    resume: (execution, position) => {
+      execution.runController = new AbortController()
       execution.position = position
-      started(execution)
+      startRun(execution)
     },
     handedOver: (execution, to) => {
       open.delete(execution.request.id)
@@ -216,7 +233,10 @@
   }
 }
 
-/** Only answers that can be had again are given up: a call that may not be repeated runs to its end. */
+/**
+ * Whether the callers of a request have left for good. Only idempotent model requests can be abandoned, because their
+ * answers can be computed again. Other requests run to the end.
+ */
 function isAbandoned (execution: Execution, now: Milliseconds): boolean {
   if (execution.readers > 0 || execution.unreadSince === undefined) return false
   if (execution.request.work.kind !== 'model' || !execution.request.idempotent) return false
--- a/test/entry/backpressure.test.ts
+++ b/test/entry/backpressure.test.ts
@@ -1,4 +1,4 @@
-/** A caller that does not read. */
+/** Backpressure from a caller that does not read its answer. */
 import assert from 'node:assert/strict'
 import type { ServerResponse } from 'node:http'
 import { Writable } from 'node:stream'
@@ -13,10 +13,10 @@
 const clock = createSystemClock()
 const TOKENS = 5_000
 
-/** The node's read-ahead, with what the buffers of its connection to the engine hold. */
-const MOST_AHEAD = 1_100
+/** Maximum number of tokens that the node reads ahead, including the buffers of its connection to the engine. */
+const MAX_AHEAD = 1_100
 
-/** A response whose connection takes nothing. */
+/** A response whose connection accepts no data. */
 class StalledResponse extends Writable {
   headersSent = false
 
@@ -33,10 +33,10 @@
   flushHeaders (): void {}
 }
 
-test('a caller that reads nothing does not fill the node\'s memory', async () => {
-  // A caller asks for a long answer and stops reading, without closing. The engine would generate all of
-  // it and the node keep it. The node stops reading from the engine once it is a bounded number of
-  // tokens ahead, and the connection's own buffer is not written past its mark.
+test('a caller that stops reading does not exhaust the memory of the node', async () => {
+  // Failure guarded against: a caller requests a long answer and stops reading without closing the connection. The
+  // engine generates the whole answer and the node buffers it. The node must stop reading from the engine at a limited
+  // number of unread tokens, and must not write to the connection beyond its high-water mark.
   const deployment = await startDeployment({ clock, seed: 5, entries: 1, engines: 1, logLevel: 'silent', engineShape: { token_ms: 0.01, prefill_tokens_per_ms: 1_000 } })
   const response = new StalledResponse()
   try {
@@ -47,8 +47,8 @@
       before = execution.answer.offset()
       await clock.sleep(300)
     }
-    assert.ok(before < MOST_AHEAD, `${before} tokens are kept for a caller that reads nothing`)
-    assert.ok(response.writableLength < 8_192, `${response.writableLength} bytes wait in the connection's buffer`)
+    assert.ok(before < MAX_AHEAD, `${before} tokens are buffered for a caller that does not read`)
+    assert.ok(response.writableLength < 8_192, `${response.writableLength} bytes are buffered in the connection`)
     response.destroy()
     await delivered
   } finally {
--- a/test/entry/dispatcher.test.ts
+++ b/test/entry/dispatcher.test.ts
@@ -1,4 +1,4 @@
-/** The dispatcher: the scheduler decides on the configuration in force. */
+/** Dispatcher: decisions are based on the configuration in force and on the current upstreams. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { createScheduler } from '../../src/admission/index.js'
@@ -38,30 +38,30 @@
 }
 
 /*
- * An operator applies the first configuration and is told that it is in force. A caller's order in the
- * same moment is refused because no upstream was live, although three were. Cause: the scheduler heard
- * of the revision with its next tick only. Seen in the main job: 1 of 231 requests.
+ * Failure guarded against: an operator applies the first configuration, and it is confirmed as in force. A request that
+ * arrives at the same moment is refused with `no-upstream`, although three upstreams are live. The cause was that the
+ * scheduler received the revision only with its next tick. It affected 1 of 231 requests.
  */
-test('a request that arrives with a new revision is decided on that revision', async () => {
+test('a request that arrives right after a new revision is decided with that revision', async () => {
   const inForce: { configuration?: Configuration } = {}
   const directory = { find: () => view } as unknown as UpstreamDirectory
   const dispatcher = createDispatcher({ scheduler: createScheduler({ random: createRandom(1) }), directory, configuration: () => inForce.configuration, clock: createManualClock() })
-  dispatcher.feed({ kind: 'upstreams', upstreams: [view] })
+  dispatcher.notify({ kind: 'upstreams', upstreams: [view] })
   inForce.configuration = configuration
   const placement = await dispatcher.place(attempt, new AbortController().signal)
   assert.equal(placement.upstream.name, 'depot-1')
 })
 
 /*
- * An answer has begun and its engine is gone. The scheduler names another, which vanishes from the list
- * in that moment, and the caller is told that the rest of the answer is refused. Cause: the carrying out
- * gave up on the attempt instead of having it decided again.
+ * Failure guarded against: an engine dies during an answer. The scheduler chooses another engine, which disappears from
+ * the directory at the same moment, and the rest of the answer is refused. The cause was that the dispatcher dropped
+ * the attempt instead of submitting it to the scheduler again.
  */
-test('an accepted attempt whose upstream vanishes under the decision is decided again', async () => {
+test('an accepted attempt whose upstream disappears before the dispatch is scheduled again', async () => {
   const other = { ...view, name: 'depot-2' } as UpstreamView
   const directory = { find: (name: string) => name === other.name ? other : undefined, views: () => [other] } as unknown as UpstreamDirectory
   const dispatcher = createDispatcher({ scheduler: createScheduler({ random: createRandom(1) }), directory, configuration: () => configuration, clock: createManualClock() })
-  dispatcher.feed({ kind: 'upstreams', upstreams: [view] })
+  dispatcher.notify({ kind: 'upstreams', upstreams: [view] })
   const placement = await dispatcher.place({ ...attempt, accepted: true }, new AbortController().signal)
   assert.equal(placement.upstream.name, 'depot-2')
 })
--- a/test/entry/forwarding.test.ts
+++ b/test/entry/forwarding.test.ts
@@ -1,4 +1,4 @@
-/** Requests that arrive at another node than their home. */
+/** Requests that arrive at a node other than their home. */
 import assert from 'node:assert/strict'
 import { after, before, test } from 'node:test'
 import { createSystemClock } from '../../src/clock.js'
@@ -20,7 +20,7 @@
 
 after(() => deployment.kill())
 
-interface Sent {
+interface SentResponse {
   readonly status: number
   readonly text: string
   readonly headers: Headers
@@ -30,7 +30,7 @@
   return requestIdFor(deployment.entries[node]!.incarnation, name.padEnd(20, '0'))
 }
 
-async function send (node: number, path: string, id: string | undefined, body: unknown, key = deployment.key, headers: Record<string, string> = {}): Promise<Sent> {
+async function send (node: number, path: string, id: string | undefined, body: unknown, key = deployment.key, headers: Record<string, string> = {}): Promise<SentResponse> {
   const response = await fetch(`http://${deployment.entries[node]!.address}${path}`, {
     method: body === undefined ? 'GET' : 'POST',
     headers: { authorization: `Bearer ${key}`, 'content-type': 'application/json', ...(id === undefined ? {} : { 'hornbeamgap-request-id': id }), ...headers },
@@ -47,10 +47,10 @@
   return [...text.matchAll(/"content":"([^"]*)"/g)].map((match) => match[1]).join('')
 }
 
-test('a send and its resumption are answered through any node, and run once', async () => {
-  // A caller's connection breaks; it sends the same id again through another node, and resumes at a
-  // third. It sees one whole answer. Cause of the failure guarded against: the other nodes do not
-  // know the id, and one that ran it itself would run it a second time.
+test('a request and its resumption are answered through any node, and the request runs once', async () => {
+  // Failure guarded against: the connection of a caller breaks. The caller sends the same id again through another node
+  // and resumes at a third. These nodes do not know the id. A node that runs the request itself instead of asking the
+  // home runs it a second time.
   const id = idAt(0, 'any-node')
   const answers = await Promise.all([0, 1, 2].map((node) => send(node, '/v1/chat/completions', id, chat())))
   for (const answer of answers) {
@@ -63,7 +63,7 @@
   assert.equal(deployment.engines.reduce((sum, engine) => sum + engine.started.length, 0), 1)
 })
 
-test('another organisation, and another body under the same id, are told nothing and not run', async () => {
+test('a lookup by another organisation and a different body under the same id are refused as not-run', async () => {
   const id = idAt(0, 'visibility')
   await send(0, '/v1/chat/completions', id, chat())
   const foreign = await send(1, `/v1/requests/${id}`, undefined, undefined, deployment.otherKey)
@@ -72,9 +72,9 @@
   assert.deepEqual([changed.status, changed.headers.get('hornbeamgap-verdict')], [409, 'not-run'])
 })
 
-test('a booking named by a key runs once, whichever nodes receive it', async () => {
-  // The customer portal sends a booking and, when its connection breaks, sends it again elsewhere with
-  // the same Idempotency-Key. One van comes. Cause: a key has no home, so two nodes could both run it.
+test('a booking with an idempotency key runs once, whichever nodes receive it', async () => {
+  // Failure guarded against: a caller sends a booking and, after its connection breaks, sends it again to another node
+  // with the same Idempotency-Key. The booking runs twice, because a key has no home and each node may run the request.
   const body = { reference: 'visit-with-key' }
   const sent = await Promise.all([0, 1, 2, 0].map((node) => send(node, '/v1/services/booking/bookings', undefined, body, deployment.key, { 'idempotency-key': 'portal-17' })))
   assert.deepEqual(sent.map((one) => one.status), [200, 200, 200, 200])
@@ -84,9 +84,10 @@
   assert.equal(other.status, 409)
 })
 
-test('when the home cannot be asked the verdict is may-have-run, and nothing runs', async () => {
-  // A node dies with a booking. The caller sends it again elsewhere and is told that it may have run:
-  // the node may only be paused, so nobody else may run it. Cause: a dead and a paused home look alike.
+test('if the home cannot be reached, the verdict is may-have-run and nothing runs', async () => {
+  // Failure guarded against: the home of a booking stops responding, and the caller sends the booking to another node.
+  // A dead home cannot be distinguished from a paused one, which may still run the booking. If the other node ran the
+  // booking as well, it would run twice.
   const id = idAt(2, 'dead-home')
   await deployment.entries[2]!.kill()
   const answer = await send(0, '/v1/services/booking/bookings', id, { reference: 'dead-home' })
--- a/test/entry/note-keeper.test.ts
+++ b/test/entry/note-keeper.test.ts
@@ -24,7 +24,7 @@
     deployment.plainServices[0]!.faults.duration = 5_000
     send(deployment, home.address, '/v1/chat/completions', plan, { model: 'service-plan', messages, max_tokens: TOKENS, stream: true })
     send(deployment, home.address, '/v1/services/booking/bookings', booking, { reference: 'of-a-dead-node' })
-    while ((home.parts.executions.openOf(plan)?.answer.offset() ?? 0) < 20 || home.parts.executions.openOf(booking)?.attempt === undefined) await clock.sleep(5)
+    while ((home.parts.executions.findOpen(plan)?.answer.offset() ?? 0) < 20 || home.parts.executions.findOpen(booking)?.attempt === undefined) await clock.sleep(5)
     await clock.sleep(600)
 
     await home.kill()
--- a/test/entry/upstream-directory.test.ts
+++ b/test/entry/upstream-directory.test.ts
@@ -1,4 +1,4 @@
-/** The directory of upstreams: whom a notice is about. */
+/** Upstream directory: notices apply to an upstream at its address. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { createUpstreamDirectory } from '../../src/entry/upstream-directory.js'
@@ -22,11 +22,12 @@
 }
 
 /*
- * An engine is reclaimed and its replacement starts under the same name. The instance list goes from the
- * one to the other without a gap, and the replacement is paid for and gets no work. Cause: the notice was
- * remembered by name alone. A lagging list that still shows the former as live must not undo the notice.
+ * Failure guarded against: an engine is reclaimed and its replacement starts under the same name. The instance list
+ * switches from the first to the second without a gap, and the replacement never receives any work. The cause was that
+ * the notice was stored by name alone. A list that lags behind and still shows the first as live must not cancel the
+ * notice either.
  */
-test('a notice holds for an upstream at its address, and not for its replacement', async () => {
+test('a notice applies to an upstream at its address, and not to its replacement', async () => {
   const clock = createManualClock()
   const owner = new AbortController()
   let listed = instanceAt(1)
