--- a/src/bin/command-line.ts
+++ b/src/bin/command-line.ts
@@ -1,4 +1,4 @@
-/** What the binaries share: exit codes, errors for people, processes with a settings file, and the end by signal. */
+/** Shared code of the binaries: exit codes, error output, servers with a settings file, and stop signals. */
 import { cac } from 'cac'
 import type { Command } from 'cac'
 import type * as z from 'zod'
@@ -10,29 +10,36 @@
 /** Exit codes of all binaries. */
 export const EXIT = {
   success: 0,
-  /** The command was understood and failed. */
+  /** The command was valid and failed. */
   failure: 1,
-  /** Wrong usage or settings; nothing was started. */
+  /** The usage or the settings are invalid. Nothing was started. */
   usage: 2,
   /** The outcome is unknown. */
   unknown: 3
 } as const
 
-/** A binary that reads a settings file and runs until it is told to stop. */
+/** A binary that reads a settings file and runs until it receives a stop signal. */
 export interface ServerCommand<Settings> {
   /** Name of the binary. */
   readonly name: string
+  /** Description in the help text. */
   readonly description: string
+  /** Schema of the settings file. */
   readonly schema: z.ZodType<Settings>
-  /** Settings file where the command line names none. */
+  /** Path of the settings file if the command line has none. */
   readonly defaultSettings?: string | undefined
-  /** Adds options beside `--settings` and `--check`. */
+  /** Adds further options besides `--settings` and `--check`. */
   readonly addOptions?: (command: Command) => void
-  /** Starts the process; `path` is where its settings stand. @returns how to stop it */
+  /**
+   * Starts the server.
+   *
+   * @param path path of the settings file
+   * @returns a function that stops the server
+   */
   readonly start: (settings: Settings, options: ServerCommandOptions, path: string) => Promise<() => Promise<void>>
 }
 
-/** Options from the command line; those of {@link ServerCommand.addOptions} by their name. */
+/** Options from the command line, including the options that {@link ServerCommand.addOptions} adds. */
 export interface ServerCommandOptions {
   readonly settings?: string
   readonly check?: boolean
@@ -40,7 +47,7 @@
 }
 
 /**
- * Runs a server until SIGTERM or SIGINT. With `--check` it only checks the settings.
+ * Runs a server until SIGTERM or SIGINT. With `--check` the settings are only validated, and no server is started.
  *
  * @example
  * runServer({
@@ -74,7 +81,8 @@
 }
 
 /**
- * Runs a command and turns what it throws into one line and an exit code.
+ * Runs a command. An error of the command is written to standard error as one line and sets the exit code. An internal
+ * error is written with its stack.
  *
  * @example
  * runCommand(() => main(process.argv))
@@ -83,19 +91,19 @@
   command().catch((error) => {
     const failure = toServingError(error, 'not-run')
     process.stderr.write(`${failure.message}\n`)
-    process.exitCode = isUsage(error, failure.code) ? EXIT.usage : EXIT.failure
-    if (isUsage(error, failure.code)) return
+    process.exitCode = isUsageError(error, failure.code) ? EXIT.usage : EXIT.failure
+    if (isUsageError(error, failure.code)) return
     if (failure.code === 'internal') process.stderr.write(`${(error as Error).stack ?? ''}\n`)
   })
 }
 
-/** The command line's parser has its own errors for options and arguments that it does not know. */
-function isUsage (error: unknown, code: FailureCode): boolean {
+/** Whether an error is a usage error. `cac` reports unknown options and missing arguments with its own error class. */
+function isUsageError (error: unknown, code: FailureCode): boolean {
   return code === 'invalid-request' || (error instanceof Error && error.name === 'CACError')
 }
 
 /**
- * Calls `stop` on the first SIGTERM or SIGINT.
+ * Calls `stop` on the first SIGTERM or SIGINT. Further signals are ignored.
  *
  * @example
  * onStopSignal(() => node.stop())
--- a/src/bin/hornbeamgap-entry.ts
+++ b/src/bin/hornbeamgap-entry.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `hornbeamgap-entry`: an entry node. */
+/** `hornbeamgap-entry`: runs an entry node. */
 import { createSystemClock } from '../clock.js'
 import { startEntryNode } from '../entry/node.js'
 import { createRandom } from '../random.js'
--- a/src/bin/hornbeamgap-gateway.ts
+++ b/src/bin/hornbeamgap-gateway.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `hornbeamgap-gateway`: a gateway node on the users' machines. */
+/** `hornbeamgap-gateway`: runs a gateway node on the machines of its users. */
 import { createPlatform, gatewaySettingsSchema, SETTINGS_VARIABLE } from '../../platform/index.js'
 import { createBoundedLineSink } from '../bounded-lines.js'
 import { createSystemClock } from '../clock.js'
@@ -12,12 +12,14 @@
 import { runServer } from './command-line.js'
 
 /**
- * Connections to the store and the platform's API, one for each call.
+ * Maximum number of connections to each address of the store and of the platform's API. Each call opens a new
+ * connection.
  *
- * Failure guarded against: all open connections fall silent for good. A call on one that was kept would wait
- * for its bound and be repeated on the next such one, while a change has to be in force within two seconds.
+ * Failure guarded against: all open connections stop delivering data without being closed. A call on a reused
+ * connection would run into its timeout and be repeated on the next reused connection, although a change must be in
+ * force within 2 s.
  */
-const PLATFORM_CONNECTIONS = 16
+const MAX_PLATFORM_CONNECTIONS = 16
 
 runServer({
   name: 'hornbeamgap-gateway',
@@ -26,17 +28,17 @@
   defaultSettings: process.env[SETTINGS_VARIABLE],
   start: async (initial, _options, path) => {
     const clock = createSystemClock()
-    const ending = new AbortController()
+    const shutdown = new AbortController()
     const lines = createBoundedLineSink(process.stdout, clock, (leftOut) => JSON.stringify({ time: new Date(clock.wall()).toISOString(), level: 'warn', process: initial.name, event: 'lines-left-out', ...leftOut }))
     const log = createLog(initial.name, 'info', clock.wall, lines)
-    const settings = watchSettings({ initial, read: () => loadSettings(gatewaySettingsSchema, path), clock, log, signal: ending.signal })
+    const settings = watchSettings({ initial, read: () => loadSettings(gatewaySettingsSchema, path), clock, log, signal: shutdown.signal })
     process.on('SIGHUP', () => settings.reload('signal'))
-    const connections = createFreshConnections(PLATFORM_CONNECTIONS)
+    const connections = createFreshConnections(MAX_PLATFORM_CONNECTIONS)
     const platform = createPlatform(settings.current, connections)
     const node = await startGatewayNode({ settings: initial, platform, clock, random: createRandom(process.pid ^ clock.wall()), log })
     return async () => {
       await node.stop()
-      ending.abort()
+      shutdown.abort()
       await connections.destroy()
     }
   }
--- a/src/bin/hornbeamgap-planner.ts
+++ b/src/bin/hornbeamgap-planner.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `hornbeamgap-planner`: buys and gives back capacity, orders engines, folds reports. */
+/** `hornbeamgap-planner`: runs a planner, which acquires and releases capacity, orders engines and aggregates reports. */
 import { createSystemClock } from '../clock.js'
 import { startPlanner } from '../planner/planner.js'
 import { plannerSettingsSchema } from '../planner/settings.js'
--- a/src/bin/hornbeamgap.ts
+++ b/src/bin/hornbeamgap.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `hornbeamgap`: the operators' command. */
+/** `hornbeamgap`: the command-line tool for operators. */
 import { userInfo } from 'node:os'
 import { cac } from 'cac'
 import type { Command } from 'cac'
@@ -18,58 +18,60 @@
 import { VERSION } from '../version.js'
 import { runCommand } from './command-line.js'
 
-type Options = ConnectionOptions & { json?: boolean }
+type CommandOptions = ConnectionOptions & { json?: boolean }
 
 const output = createProcessOutput()
 
 runCommand(async () => {
   const program = cac('hornbeamgap')
-  withChange(program.command('apply <file>', 'Put a configuration in force, from a TOML file'))
-    .action((file: string, options: Options & ChangeCommandOptions) => connected(options, (client) => applyCommand(client, output, file, authored(options))))
-  withChange(program.command('rollback <revision>', 'Put an earlier revision in force again, as a new revision'))
-    .action((revision: string, options: Options & ChangeCommandOptions) => connected(options, (client) => rollbackCommand(client, output, Number(revision), authored(options))))
-  withConnection(program.command('show', 'Show the configuration in force, as TOML'))
-    .action((options: Options) => connected(options, (client) => showCommand(client, output, options)))
-  withConnection(program.command('history', 'List revisions: who changed what, when and why'))
+  addChangeOptions(program.command('apply <file>', 'Put a configuration in force, from a TOML file'))
+    .action((file: string, options: CommandOptions & ChangeCommandOptions) => withClient(options, (client) => applyCommand(client, output, file, withAuthor(options))))
+  addChangeOptions(program.command('rollback <revision>', 'Put an earlier revision in force again, as a new revision'))
+    .action((revision: string, options: CommandOptions & ChangeCommandOptions) => withClient(options, (client) => rollbackCommand(client, output, Number(revision), withAuthor(options))))
+  addConnectionOptions(program.command('show', 'Show the configuration in force, as TOML'))
+    .action((options: CommandOptions) => withClient(options, (client) => showCommand(client, output, options)))
+  addConnectionOptions(program.command('history', 'List revisions: who changed what, when and why'))
     .option('--limit <count>', 'Most revisions', { default: 20 })
-    .action((options: Options & { limit: number }) => connected(options, (client) => historyCommand(client, output, options)))
-  withConnection(program.command('status', 'Show what is in force at each node'))
-    .action((options: Options) => connected(options, (client) => statusCommand(client, output, options)))
-  withConnection(program.command('report', 'Tell who got what, by class and organisation'))
+    .action((options: CommandOptions & { limit: number }) => withClient(options, (client) => historyCommand(client, output, options)))
+  addConnectionOptions(program.command('status', 'Show what is in force at each node'))
+    .action((options: CommandOptions) => withClient(options, (client) => statusCommand(client, output, options)))
+  addConnectionOptions(program.command('report', 'Tell who got what, by class and organisation'))
     .option('--since <duration>', 'Begin so long ago: 90m, 2h, 3d (default: 1d)')
     .option('--from <time>', 'Begin at an ISO 8601 time')
     .option('--to <time>', 'End at an ISO 8601 time (default: now)')
     .option('--fresh', 'Have every node report first')
     .option('--csv', 'Write comma-separated values')
     .option('--html <file>', 'Write a page with plots')
-    .action((options: Options & ReportCommandOptions) => connected(options, (client) => reportCommand(client, output, options, createSystemClock().wall())))
-  withConnection(program.command('explain <id> [...logs]', 'Tell what happened to one request, and why: from the nodes, or from files of their lines (- for standard input)'))
-    .action((id: string, logs: string[], options: Options) => logs.length > 0
+    .action((options: CommandOptions & ReportCommandOptions) => withClient(options, (client) => reportCommand(client, output, options, createSystemClock().wall())))
+  addConnectionOptions(program.command('explain <id> [...logs]', 'Tell what happened to one request, and why: from the nodes, or from files of their lines (- for standard input)'))
+    .action((id: string, logs: string[], options: CommandOptions) => logs.length > 0
       ? explainFromLogs(readLogs(logs), output, id, options)
-      : connected(options, (client) => explainCommand(client, output, id, options)))
+      : withClient(options, (client) => explainCommand(client, output, id, options)))
   program.command('day <...logs>', 'Tell what became of requests over time, from files of nodes\' lines (- for standard input)')
     .option('--json', 'Write JSON')
     .option('--html <file>', 'Write a page with a plot')
     .option('--step <seconds>', 'Length of a part')
     .action((logs: string[], options: DayCommandOptions) => dayFromLogs(readLogs(logs), output, options))
-  withConnection(program.command('planner', 'Tell what the planner did, and why'))
-    .action((options: Options) => connected(options, (client) => plannerCommand(client, output, options)))
+  addConnectionOptions(program.command('planner', 'Tell what the planner did, and why'))
+    .action((options: CommandOptions) => withClient(options, (client) => plannerCommand(client, output, options)))
   program.help()
   program.version(VERSION)
   program.parse(process.argv, { run: false })
-  if (program.matchedCommand === undefined) return withoutCommand(program.args, program.options, () => program.outputHelp())
+  if (program.matchedCommand === undefined) return handleMissingCommand(program.args, program.options, () => program.outputHelp())
   await program.runMatchedCommand()
 })
 
-function withConnection (command: Command): Command {
+/** Adds the options of commands that connect to entry nodes. */
+function addConnectionOptions (command: Command): Command {
   return command
     .option('--address <addresses>', 'Entry nodes as IP:PORT, separated by commas; or HORNBEAMGAP_ADDRESSES')
     .option('--settings <file>', 'TOML file with addresses and operator_key; or HORNBEAMGAP_SETTINGS')
     .option('--json', 'Write JSON')
 }
 
-function withChange (command: Command): Command {
-  return withConnection(command)
+/** Adds the options of commands that change the configuration. */
+function addChangeOptions (command: Command): Command {
+  return addConnectionOptions(command)
     .option('--dry-run', 'Show the difference and change nothing')
     .option('--reason <text>', 'Why; kept in the history')
     .option('--author <name>', 'Who; your login name when left out')
@@ -77,7 +79,8 @@
     .option('--change-id <id>', 'Settle an earlier attempt whose outcome was unknown')
 }
 
-async function connected (options: Options, task: (client: OperatorClient) => Promise<void>): Promise<void> {
+/** Runs a task with a client, and closes the client afterwards. */
+async function withClient (options: CommandOptions, task: (client: OperatorClient) => Promise<void>): Promise<void> {
   const client = createOperatorClient(resolveSettings(options, process.env))
   try {
     await task(client)
@@ -86,11 +89,13 @@
   }
 }
 
-function authored (options: ChangeCommandOptions): ChangeCommandOptions {
+/** Sets the author to the login name if the command line has none. */
+function withAuthor (options: ChangeCommandOptions): ChangeCommandOptions {
   return { ...options, author: options.author ?? userInfo().username }
 }
 
-function withoutCommand (args: readonly string[], options: Readonly<Record<string, unknown>>, help: () => void): void {
+/** Prints the help text, or throws for an unknown command. */
+function handleMissingCommand (args: readonly string[], options: Readonly<Record<string, unknown>>, help: () => void): void {
   if (options.help === true || options.version === true) return
   if (args.length === 0) return help()
   throw new ServingError(`no command "${args[0]}"; see hornbeamgap --help`, { code: 'invalid-request', verdict: 'not-run' })
--- a/src/caller/api.ts
+++ b/src/caller/api.ts
@@ -1,4 +1,4 @@
-/** The callers' API: addresses, chat completions, plain services, and lookup or resumption by id. */
+/** HTTP API for callers: addresses, chat completions, plain services, and lookup or resumption by request id. */
 import type { ServerResponse } from 'node:http'
 import type restana from 'restana'
 import type { Configuration } from '../configuration/index.js'
@@ -8,52 +8,55 @@
 import type { AddressAnswer } from '../membership/index.js'
 import type { EntryMetrics } from '../metrics.js'
 import { toServingError } from '../verdict.js'
-import { sendWhole, streamAnswer } from './delivery.js'
-import { guarded, readBody, REQUEST_ID_HEADER, sendJson } from './http.js'
+import { sendCompleteAnswer, streamAnswer } from './delivery.js'
+import { withErrorResponse, readBody, REQUEST_ID_HEADER, sendJson } from './http.js'
 import type { ApiRequest } from './http.js'
 import { authenticate, parseChat, parseId, parseOffset, parsePlain } from './parsing.js'
 import type { ParsedRequest } from './parsing.js'
 
-/** What the API needs from its node. */
+/** Parts of the node that the API uses. */
 export interface CallerContext {
   readonly incarnation: Incarnation
   readonly routing: Routing
   readonly configuration: () => Configuration | undefined
   readonly addresses: (organisation: OrganisationName) => AddressAnswer
   readonly metrics: EntryMetrics
-  /** Largest body, in bytes. */
+  /** Maximum size of a request body in bytes. */
   readonly bodyLimit: number
 }
 
-type Service = ReturnType<typeof restana>
+type HttpService = ReturnType<typeof restana>
 
+/** HTTP methods that a plain service can be called with. */
 const PLAIN_METHODS = ['get', 'head', 'post', 'put', 'patch', 'delete'] as const
+
+/** Prefix of the paths of plain services. It is followed by the class name and the path for the service. */
 const PLAIN_PREFIX = '/v1/services/'
 
 /**
- * Registers the callers' routes.
+ * Registers the routes of the API for callers.
  *
  * @example
  * registerCallerApi(service, context)
  */
-export function registerCallerApi (service: Service, context: CallerContext): void {
-  service.get('/v1/addresses', counted(context, async (organisation, _request, response) => {
+export function registerCallerApi (service: HttpService, context: CallerContext): void {
+  service.get('/v1/addresses', authenticatedRoute(context, async (organisation, _request, response) => {
     sendJson(response, 200, context.addresses(organisation))
   }))
-  service.post('/v1/chat/completions', counted(context, async (organisation, request, response) => {
+  service.post('/v1/chat/completions', authenticatedRoute(context, async (organisation, request, response) => {
     const bytes = await readBody(request, context.bodyLimit)
     const parsed = parseChat(context.configuration() as Configuration, organisation, context.incarnation, request, bytes)
     const source = await submit(context, parsed, response)
-    await (parsed.stream ? streamAnswer(source, 0, response) : sendWhole(source, response))
+    await (parsed.stream ? streamAnswer(source, 0, response) : sendCompleteAnswer(source, response))
   }))
-  const plain = counted(context, async (organisation, request, response) => {
+  const plain = authenticatedRoute(context, async (organisation, request, response) => {
     const bytes = await readBody(request, context.bodyLimit)
     const { className, path } = splitPlainUrl(request.url ?? '')
     const parsed = parsePlain(context.configuration() as Configuration, organisation, context.incarnation, request, className, path, bytes)
-    await sendWhole(await submit(context, parsed, response), response)
+    await sendCompleteAnswer(await submit(context, parsed, response), response)
   })
   for (const method of PLAIN_METHODS) service[method](`${PLAIN_PREFIX}:class/*`, plain)
-  service.get('/v1/requests/:id', counted(context, async (organisation, request, response) => {
+  service.get('/v1/requests/:id', authenticatedRoute(context, async (organisation, request, response) => {
     const offset = parseOffset(request.query.offset)
     const source = await context.routing.attach(organisation, parseId(request.params.id), offset)
     response.setHeader(REQUEST_ID_HEADER, source.id)
@@ -61,13 +64,14 @@
   }))
 }
 
-type Route = (organisation: OrganisationName, request: ApiRequest, response: ServerResponse) => Promise<void>
+/** Handler of a route after authentication. */
+type AuthenticatedHandler = (organisation: OrganisationName, request: ApiRequest, response: ServerResponse) => Promise<void>
 
-/** Authenticates, and counts what never becomes a request of a class. */
-function counted (context: CallerContext, route: Route): (request: any, response: any) => Promise<void> {
-  return guarded(async (request, response) => {
+/** Authenticates the caller, and counts calls that are rejected before they are assigned to a request class. */
+function authenticatedRoute (context: CallerContext, handler: AuthenticatedHandler): (request: any, response: any) => Promise<void> {
+  return withErrorResponse(async (request, response) => {
     try {
-      await route(authenticate(context.configuration(), request), request, response)
+      await handler(authenticate(context.configuration(), request), request, response)
     } catch (error) {
       const { code } = toServingError(error, 'may-have-run')
       if (code === 'unauthenticated') context.metrics.count('unauthenticated_requests')
@@ -78,13 +82,15 @@
 }
 
 async function submit (context: CallerContext, parsed: ParsedRequest, response: ServerResponse): Promise<AnswerSource> {
-  // The caller is told the id with every outcome; a claimed key's owner may have another one.
+  // Every response has the request id, including failures. If the idempotency key was claimed before, the request
+  // that owns the key has a different id, which replaces this id in the header.
   response.setHeader(REQUEST_ID_HEADER, parsed.request.id)
   const source = await context.routing.submit(parsed)
   response.setHeader(REQUEST_ID_HEADER, source.id)
   return source
 }
 
+/** Splits the URL of a plain service call into the class name and the path with query for the service. */
 function splitPlainUrl (url: string): { className: string, path: string } {
   const rest = url.slice(PLAIN_PREFIX.length)
   const end = rest.search(/[/?]/)
--- a/src/caller/delivery.ts
+++ b/src/caller/delivery.ts
@@ -1,4 +1,4 @@
-/** Writes answers to callers: as a stream of events, as one JSON body, or as a plain service's response. */
+/** Writes answers to callers: as an event stream, as one JSON body, or as the response of a plain service. */
 import type { ServerResponse } from 'node:http'
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
@@ -6,34 +6,34 @@
 import { formatEvent } from '../protocols/server-sent-events.js'
 import type { AnswerEnd, PlainResponse } from '../request/index.js'
 import { ServingError } from '../verdict.js'
-import { ANSWER_HEADER, failureBody, sendFailure, sendJson, writeSlowly } from './http.js'
+import { ANSWER_HEADER, failureBody, sendFailure, sendJson, writeWithBackpressure } from './http.js'
 
-/** A stream without tokens shows this often that it is alive. */
+/** Interval at which a comment is written to open event streams, so that callers can detect lost connections. */
 export const KEEP_ALIVE_PERIOD: Milliseconds = 5 * SECOND
 
-/** Reason of an abort; without one each would build an exception with its stack. */
-const CLOSED = 'closed'
+/** Abort reason. Without a reason each abort would create an exception with a stack trace. */
+const CLOSE_REASON = 'closed'
 
-const KEEP_ALIVE = ': waiting\n\n'
+const KEEP_ALIVE_COMMENT = ': waiting\n\n'
 
 /**
- * Streams an answer from an offset on. The head is sent when the request is accepted: from then on the
- * caller holds the id and a stream whose only proof of wholeness is its final mark.
+ * Streams an answer from an offset on. The response head is sent as soon as the request is accepted, so that the caller
+ * receives the request id early. The answer is complete only if the stream ends with the event `[DONE]`.
  *
  * @example
  * await streamAnswer(source, 0, response)
  */
 export async function streamAnswer (source: AnswerSource, offset: number, response: ServerResponse): Promise<void> {
-  const gone = closeSignal(response)
-  source.accepted.then(() => begin(response, gone), () => {})
+  const closed = createCloseSignal(response)
+  source.accepted.then(() => beginStream(response, closed), () => {})
   const keepAlive = setInterval(() => {
-    if (response.headersSent && !response.writableNeedDrain) response.write(KEEP_ALIVE)
+    if (response.headersSent && !response.writableNeedDrain) response.write(KEEP_ALIVE_COMMENT)
   }, KEEP_ALIVE_PERIOD)
   try {
-    for await (const part of source.read(offset, gone)) {
-      if (part.kind !== 'token') return endStream(source, part, response, gone)
-      begin(response, gone)
-      await writeSlowly(response, formatEvent(tokenChunk(source, part.token.text), part.token.offset), gone)
+    for await (const part of source.read(offset, closed)) {
+      if (part.kind !== 'token') return endStream(source, part, response, closed)
+      beginStream(response, closed)
+      await writeWithBackpressure(response, formatEvent(tokenChunk(source, part.token.text), part.token.offset), closed)
     }
   } finally {
     clearInterval(keepAlive)
@@ -41,17 +41,17 @@
 }
 
 /**
- * Sends an answer as one body, when it is whole.
+ * Sends a complete answer as one body. Nothing is sent before the answer has ended.
  *
  * @example
- * await sendWhole(source, response)
+ * await sendCompleteAnswer(source, response)
  */
-export async function sendWhole (source: AnswerSource, response: ServerResponse): Promise<void> {
+export async function sendCompleteAnswer (source: AnswerSource, response: ServerResponse): Promise<void> {
   const texts: string[] = []
-  for await (const part of source.read(0, closeSignal(response))) {
+  for await (const part of source.read(0, createCloseSignal(response))) {
     switch (part.kind) {
       case 'token': texts.push(part.token.text); break
-      case 'finished': sendJson(response, 200, wholeOf(source, texts, part)); break
+      case 'finished': sendJson(response, 200, toChatCompletion(source, texts, part)); break
       case 'plain': sendPlain(part.response, response); break
       case 'failed': sendFailure(response, part.failure); break
       case 'moved': sendFailure(response, movedFailure(part.retryAfter))
@@ -59,18 +59,20 @@
   }
 }
 
-function begin (response: ServerResponse, gone: AbortSignal): void {
-  if (response.headersSent || gone.aborted) return
+/** Sends the response head of the event stream, unless it was sent before. */
+function beginStream (response: ServerResponse, closed: AbortSignal): void {
+  if (response.headersSent || closed.aborted) return
   response.writeHead(200, { 'content-type': 'text/event-stream', 'cache-control': 'no-store' })
   response.flushHeaders()
 }
 
-function endStream (source: AnswerSource, end: AnswerEnd, response: ServerResponse, gone: AbortSignal): void {
-  if (gone.aborted) return
+/** Ends the event stream. A failure before the response head is sent as a response with an error status. */
+function endStream (source: AnswerSource, end: AnswerEnd, response: ServerResponse, closed: AbortSignal): void {
+  if (closed.aborted) return
   switch (end.kind) {
     case 'finished':
-      begin(response, gone)
-      response.write(formatEvent(JSON.stringify({ ...envelope(source), choices: [{ index: 0, delta: {}, finish_reason: end.finish }], usage: end.usage })))
+      beginStream(response, closed)
+      response.write(formatEvent(JSON.stringify({ ...chunkEnvelope(source), choices: [{ index: 0, delta: {}, finish_reason: end.finish }], usage: end.usage })))
       response.end(formatEvent('[DONE]'))
       return
     case 'plain': return sendPlain(end.response, response)
@@ -93,7 +95,7 @@
   response.end(Buffer.from(plain.body, 'base64'))
 }
 
-function wholeOf (source: AnswerSource, texts: readonly string[], end: Extract<AnswerEnd, { kind: 'finished' }>): object {
+function toChatCompletion (source: AnswerSource, texts: readonly string[], end: Extract<AnswerEnd, { kind: 'finished' }>): object {
   return {
     id: source.id,
     object: 'chat.completion',
@@ -104,10 +106,10 @@
 }
 
 function tokenChunk (source: AnswerSource, content: string): string {
-  return JSON.stringify({ ...envelope(source), choices: [{ index: 0, delta: { content }, finish_reason: null }] })
+  return JSON.stringify({ ...chunkEnvelope(source), choices: [{ index: 0, delta: { content }, finish_reason: null }] })
 }
 
-function envelope (source: AnswerSource): { id: string, object: string, model: string } {
+function chunkEnvelope (source: AnswerSource): { id: string, object: string, model: string } {
   return { id: source.id, object: 'chat.completion.chunk', model: source.class }
 }
 
@@ -115,9 +117,10 @@
   return new ServingError('the request continues at another node; ask there with its id', { code: 'moved', verdict: 'may-have-run', retryAfter })
 }
 
-function closeSignal (response: ServerResponse): AbortSignal {
-  const gone = new AbortController()
-  response.once('close', () => gone.abort(CLOSED))
-  if (response.destroyed) gone.abort()
-  return gone.signal
+/** Signal that aborts when the caller's connection closes. */
+function createCloseSignal (response: ServerResponse): AbortSignal {
+  const closed = new AbortController()
+  response.once('close', () => closed.abort(CLOSE_REASON))
+  if (response.destroyed) closed.abort()
+  return closed.signal
 }
--- a/src/caller/http.ts
+++ b/src/caller/http.ts
@@ -1,32 +1,33 @@
-/** HTTP towards callers and operators: bodies within limits, answers, and failures with their verdict. */
+/** HTTP helpers for the APIs of callers and operators: request bodies with a size limit, responses, and failures. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Milliseconds } from '../clock.js'
 import { ServingError, httpStatusOf, toServingError } from '../verdict.js'
 
-/** Header that carries a request id, both ways. */
+/** Request and response header with the request id. */
 export const REQUEST_ID_HEADER = 'hornbeamgap-request-id'
 
-/** Header that carries the verdict of a failure. */
+/** Response header with the verdict of a failure. */
 export const VERDICT_HEADER = 'hornbeamgap-verdict'
 
-/** Header that marks a plain service's answer; the system's own failures lack it. */
+/** Response header that marks the answer of a plain service. Failures of the system itself do not have this header. */
 export const ANSWER_HEADER = 'hornbeamgap-answer'
 
-/** A request as restana hands it over. */
+/** Request as passed to a handler by restana. */
 export type ApiRequest = IncomingMessage & { params: Record<string, string>, query: Record<string, string | string[]> }
 
-const STALLED: Milliseconds = 60_000
+/** Maximum time for which a caller may accept no data before its connection is destroyed. */
+const STALL_TIMEOUT: Milliseconds = 60_000
 
 /**
- * Wraps a route so that whatever it throws becomes a clear error with a verdict.
+ * Wraps a handler so that any error it throws is sent as a failure with a verdict.
  *
  * @example
- * service.get('/path', guarded(async (request, response) => sendJson(response, 200, {})))
+ * service.get('/path', withErrorResponse(async (request, response) => sendJson(response, 200, {})))
  */
-export function guarded (route: (request: ApiRequest, response: ServerResponse) => Promise<void>): (request: any, response: any) => Promise<void> {
+export function withErrorResponse (handler: (request: ApiRequest, response: ServerResponse) => Promise<void>): (request: any, response: any) => Promise<void> {
   return async (request, response) => {
     try {
-      await route(request, response)
+      await handler(request, response)
     } catch (error) {
       sendFailure(response, toServingError(error, 'may-have-run'))
     }
@@ -34,6 +35,8 @@
 }
 
 /**
+ * Sends a JSON response.
+ *
  * @example
  * sendJson(response, 200, { ok: true })
  */
@@ -43,8 +46,8 @@
 }
 
 /**
- * Tells a failure in body and headers. Once the answer has begun there is no status to set any more;
- * the connection is destroyed instead, so that the fragment cannot pass as whole.
+ * Sends a failure in the status, headers and body of the response. If the response head has already been sent, the
+ * connection is destroyed instead, so that the caller does not take the incomplete answer for a complete one.
  *
  * @example
  * sendFailure(response, new ServingError('too busy', { code: 'overloaded', verdict: 'not-run', retryAfter: 500 }))
@@ -56,13 +59,13 @@
   }
   response.setHeader(VERDICT_HEADER, failure.verdict)
   if (failure.retryAfter !== undefined) response.setHeader('retry-after', retryAfterSeconds(failure.retryAfter))
-  // An unread rest of the request would be taken for the next one.
+  // The rest of the request body is not read. On a connection that stays open it would be parsed as the next request.
   if (failure.code === 'too-large') response.setHeader('connection', 'close')
   sendJson(response, httpStatusOf(failure.code), failureBody(failure))
 }
 
 /**
- * Body that tells a failure, in the shape that language-model clients know, with the verdict added.
+ * Response body of a failure, in the format of common language-model APIs extended by the verdict.
  *
  * @example
  * failureBody(failure) // { error: { message, type: 'overloaded', verdict: 'not-run', retry_after_ms: 500 } }
@@ -79,10 +82,10 @@
 }
 
 /**
- * Reads a body up to a limit.
+ * Reads a request body.
  *
- * @param limit bytes
- * @throws ServingError `too-large`
+ * @param limit maximum size in bytes
+ * @throws ServingError `too-large` for a larger body, `invalid-request` for a body that ends early
  * @example
  * const bytes = await readBody(request, 1_048_576)
  */
@@ -103,26 +106,26 @@
 }
 
 /**
- * Writes a piece and waits while the caller's connection is full, so that a slow caller does not fill
- * memory. A caller that takes nothing for a minute is disconnected; it may resume.
+ * Writes a chunk and waits until the write buffer of the connection has drained, so that a slow caller does not fill
+ * the memory of the node. A caller that accepts no data for a minute is disconnected, and may resume later.
  *
- * @param gone aborts when the connection has closed
+ * @param closed aborts when the connection closes
  * @example
- * await writeSlowly(response, formatEvent(data), gone)
+ * await writeWithBackpressure(response, formatEvent(data), closed)
  */
-export function writeSlowly (response: ServerResponse, text: string | Buffer, gone: AbortSignal): Promise<void> | void {
+export function writeWithBackpressure (response: ServerResponse, text: string | Buffer, closed: AbortSignal): Promise<void> | void {
   if (response.write(text)) return
   return new Promise((resolve) => {
-    const timer = setTimeout(() => response.destroy(), STALLED)
+    const timer = setTimeout(() => response.destroy(), STALL_TIMEOUT)
     const finish = (): void => {
       clearTimeout(timer)
       response.removeListener('drain', finish)
-      gone.removeEventListener('abort', finish)
+      closed.removeEventListener('abort', finish)
       resolve()
     }
     response.once('drain', finish)
-    gone.addEventListener('abort', finish, { once: true })
-    if (gone.aborted) finish()
+    closed.addEventListener('abort', finish, { once: true })
+    if (closed.aborted) finish()
   })
 }
 
--- a/src/client/address-cache.ts
+++ b/src/client/address-cache.ts
@@ -1,4 +1,4 @@
-/** The addresses that the system gave this caller, kept for their time. */
+/** Cache of the addresses of entry nodes that the system returned to this caller. */
 import type { Clock, Milliseconds } from '../clock.js'
 import type { Address, Incarnation } from '../identifiers.js'
 import { addressAnswerSchema } from '../membership/index.js'
@@ -8,26 +8,32 @@
 import type { Random } from '../random.js'
 import { ServingError, toServingError } from '../verdict.js'
 
-/** One node of an address answer. */
+/** Entry node in an address answer. */
 export type KnownNode = AddressAnswer['nodes'][number]
 
-/** Addresses in use. */
+/** Addresses of entry nodes and choice among them. */
 export interface AddressCache {
-  /** @throws ServingError `not-run` when no node answers */
+  /**
+   * Returns the cached address answer, or requests a new one after its lifetime.
+   *
+   * @throws ServingError `no-upstream` with verdict `not-run` when no node answers
+   */
   answer (): Promise<AddressAnswer>
-  /** Asks again before the time of the present answer is over. */
-  forget (): void
-  /** The node is not chosen for a while, unless all are avoided. */
+  /** Ends the lifetime of the cached answer, so that the next use requests a new one. */
+  invalidate (): void
+  /** Excludes a node for {@link AVOIDANCE_PERIOD}. If all nodes are excluded, excluded nodes are chosen as well. */
   avoid (address: Address): void
   /**
-   * A node to send to: the home of an id when it is among them, another at random otherwise.
+   * Chooses the node for an attempt: the home of the request id if it is available, otherwise a random node.
+   *
+   * @throws ServingError `no-upstream` with verdict `not-run` when no node is known
    */
   choose (home: Incarnation | undefined): Promise<KnownNode>
 }
 
-/** What the cache needs. */
+/** Options of {@link createAddressCache}. */
 export interface AddressCacheOptions {
-  /** Addresses asked when no others are known. */
+  /** Initial addresses. They stay in use besides the addresses that the system returned. */
   readonly addresses: readonly Address[]
   readonly headers: Readonly<Record<string, string>>
   readonly connections: Connections
@@ -35,28 +41,31 @@
   readonly random: Random
 }
 
-/** Bound on the wait for an address answer. */
-const SILENCE: Milliseconds = 2_000
+/** Maximum wait for an address answer from one node. */
+const ANSWER_TIMEOUT: Milliseconds = 2_000
 
-const AVOID_TIME: Milliseconds = 5_000
+/** Time for which a node is excluded after a failure. */
+const AVOIDANCE_PERIOD: Milliseconds = 5_000
 
 /**
+ * Creates an empty cache.
+ *
  * @example
  * const node = await createAddressCache(options).choose(undefined)
  */
 export function createAddressCache (options: AddressCacheOptions): AddressCache {
   const { connections, clock, random, headers } = options
   const avoided = new Map<Address, Milliseconds>()
-  let kept: { answer: AddressAnswer, until: Milliseconds } | undefined
-  let asking: Promise<AddressAnswer> | undefined
+  let cached: { answer: AddressAnswer, until: Milliseconds } | undefined
+  let pending: Promise<AddressAnswer> | undefined
 
-  async function ask (): Promise<AddressAnswer> {
-    const known = kept?.answer.nodes.map((node) => node.address) ?? []
+  async function fetchAddresses (): Promise<AddressAnswer> {
+    const known = cached?.answer.nodes.map((node) => node.address) ?? []
     let failure: unknown
     for (const address of shuffled([...new Set([...known, ...options.addresses])])) {
       try {
-        const answer = await exchangeJson(connections, { address, method: 'GET', path: '/v1/addresses', headers, idleTimeout: SILENCE }, addressAnswerSchema)
-        kept = { answer, until: clock.now() + answer.lifetime_ms }
+        const answer = await exchangeJson(connections, { address, method: 'GET', path: '/v1/addresses', headers, idleTimeout: ANSWER_TIMEOUT }, addressAnswerSchema)
+        cached = { answer, until: clock.now() + answer.lifetime_ms }
         return answer
       } catch (error) {
         failure = error
@@ -66,10 +75,10 @@
     throw new ServingError(`no entry node answers: ${failure instanceof Error ? failure.message : 'no address is known'}`, { code: 'no-upstream', verdict: 'not-run' })
   }
 
-  /** Nodes that were avoided come last, so that one of them is still asked when no other is left. */
+  /** Random order in which excluded nodes come last, so that they are still requested if no other node answers. */
   function shuffled (addresses: readonly Address[]): Address[] {
-    const drawn = addresses.map((address) => ({ address, order: random.fraction() + (isAvoided(address) ? 1 : 0) }))
-    return drawn.sort((left, right) => left.order - right.order).map((item) => item.address)
+    const ranked = addresses.map((address) => ({ address, order: random.fraction() + (isAvoided(address) ? 1 : 0) }))
+    return ranked.sort((left, right) => left.order - right.order).map((item) => item.address)
   }
 
   function isAvoided (address: Address): boolean {
@@ -77,23 +86,23 @@
   }
 
   async function answer (): Promise<AddressAnswer> {
-    if (kept !== undefined && clock.now() < kept.until) return kept.answer
-    asking ??= ask().finally(() => { asking = undefined })
-    return asking
+    if (cached !== undefined && clock.now() < cached.until) return cached.answer
+    pending ??= fetchAddresses().finally(() => { pending = undefined })
+    return pending
   }
 
   return {
     answer,
-    forget: () => {
-      if (kept !== undefined) kept = { ...kept, until: -Infinity }
+    invalidate: () => {
+      if (cached !== undefined) cached = { ...cached, until: -Infinity }
     },
-    avoid: (address) => { avoided.set(address, clock.now() + AVOID_TIME) },
+    avoid: (address) => { avoided.set(address, clock.now() + AVOIDANCE_PERIOD) },
     choose: async (home) => {
       const { nodes } = await answer()
-      const free = nodes.filter((node) => !isAvoided(node.address))
-      const atHome = free.find((node) => node.incarnation === home)
-      if (atHome !== undefined) return atHome
-      const candidates = free.length > 0 ? free : nodes
+      const available = nodes.filter((node) => !isAvoided(node.address))
+      const homeNode = available.find((node) => node.incarnation === home)
+      if (homeNode !== undefined) return homeNode
+      const candidates = available.length > 0 ? available : nodes
       if (candidates.length === 0) throw new ServingError('no entry node is known', { code: 'no-upstream', verdict: 'not-run' })
       return random.pick(candidates)
     }
--- a/src/client/client.ts
+++ b/src/client/client.ts
@@ -1,6 +1,6 @@
 /**
- * The callers' module: asks for addresses, keeps them for their time, mints request ids at a home,
- * sends again and resumes with the same id.
+ * Client library for callers. It discovers and caches the addresses of entry nodes, creates request ids, retries failed
+ * attempts and resumes interrupted answers under the same request id.
  */
 import { randomInt } from 'node:crypto'
 import type { Clock } from '../clock.js'
@@ -16,47 +16,53 @@
 import { callService } from './plain.js'
 import type { ServiceAnswer, ServiceCall } from './plain.js'
 
-/** Whom a client asks first, and as whom. */
+/** Options of {@link createClient}. */
 export interface ClientOptions {
-  /** Any addresses of entry nodes; one that answers is enough. */
+  /** Initial addresses of entry nodes. At least one of them must answer. */
   readonly addresses: readonly Address[]
-  /** The organisation's bearer key. */
+  /** Bearer key of the organisation. */
   readonly key: string
   readonly clock?: Clock
-  /** Chooses nodes and spreads pauses. Ids come from the system's own source, since they must not be guessed. */
+  /**
+   * Random numbers for the choice of nodes and for the jitter of retry delays. Request ids always use the
+   * cryptographic random source, because they must not be guessable.
+   */
   readonly random?: Random
 }
 
-/** A caller's connection to the system. */
+/** Client of the system. */
 export interface Client {
-  /** Resolves to the whole answer, or rejects with a ServingError and its verdict. */
+  /** Executes a chat completion. Resolves to the complete answer, or rejects with a ServingError. */
   chat (call: ChatCall): Promise<ChatAnswer>
-  /** Resolves to the plain service's answer, or rejects with a ServingError and its verdict. */
+  /** Calls a plain service. Resolves to the answer of the service, or rejects with a ServingError. */
   call (call: ServiceCall): Promise<ServiceAnswer>
-  /** Addresses in use now. */
+  /** Returns the entry nodes that are currently in use. */
   addresses (): Promise<AddressAnswer>
+  /** Closes all connections. */
   close (): Promise<void>
 }
 
 const CONNECTIONS_PER_ADDRESS = 64
-const LARGEST_SEED = 2 ** 31
+const MAX_SEED = 2 ** 31
 
 /**
+ * Creates a client. Connections are opened when they are needed.
+ *
  * @example
  * const client = createClient({ addresses: ['127.0.0.1:8080'], key })
  * const answer = await client.chat({ class: 'short-question', messages: [{ role: 'user', content: 'Which resin?' }] })
  */
 export function createClient (options: ClientOptions): Client {
   const clock = options.clock ?? createSystemClock()
-  const random = options.random ?? createRandom(randomInt(LARGEST_SEED))
+  const random = options.random ?? createRandom(randomInt(MAX_SEED))
   const connections = createConnections(CONNECTIONS_PER_ADDRESS)
   const freshConnections = createFreshConnections(CONNECTIONS_PER_ADDRESS)
   const headers = { authorization: `Bearer ${options.key}` }
   const cache = createAddressCache({ addresses: options.addresses, headers, connections: freshConnections, clock, random })
-  const sending = { cache, connections, freshConnections, headers, clock, random }
+  const context = { cache, connections, freshConnections, headers, clock, random }
   return {
-    chat: (call) => chat(sending, call),
-    call: (call) => callService(sending, call),
+    chat: (call) => chat(context, call),
+    call: (call) => callService(context, call),
     addresses: cache.answer,
     close: async () => {
       await Promise.all([connections.destroy(), freshConnections.destroy()])
--- a/src/client/index.ts
+++ b/src/client/index.ts
@@ -1,4 +1,4 @@
-/** Public surface of `hornbeamgap/client`. */
+/** Public exports of `hornbeamgap/client`. */
 export { createClient } from './client.js'
 export type { Client, ClientOptions } from './client.js'
 export type { ChatAnswer, ChatCall } from './chat.js'
--- a/src/client/wire.ts
+++ b/src/client/wire.ts
@@ -1,17 +1,17 @@
-/** What entry nodes send to callers, as this module reads it. */
+/** Parsing of the responses of entry nodes. */
 import * as z from 'zod'
 import { usageSchema } from '../upstream/index.js'
 import { ServingError } from '../verdict.js'
 import type { FailureCode } from '../verdict.js'
 
-/** Header that carries a request id, both ways. */
+/** Request and response header with the request id. */
 export const REQUEST_ID_HEADER = 'hornbeamgap-request-id'
 
-/** Header that marks a plain service's answer; the system's own failures lack it. */
+/** Response header that marks the answer of a plain service. Failures of the system itself do not have this header. */
 export const ANSWER_HEADER = 'hornbeamgap-answer'
 
-/** Final mark of a stream. */
-export const DONE = '[DONE]'
+/** Data of the final event of a stream. */
+export const STREAM_END = '[DONE]'
 
 const chunkSchema = z.object({
   choices: z.array(z.object({
@@ -32,20 +32,20 @@
 
 const movedSchema = z.object({ moved: z.object({ retry_after_ms: z.number() }) })
 
-/** One event of a stream. */
+/** Parsed event of a stream. */
 export type StreamMessage =
   | { kind: 'chunk', chunk: z.infer<typeof chunkSchema> }
   | { kind: 'failure', failure: ServingError }
   | { kind: 'moved', retryAfter: number }
 
 /**
- * Reads one event of a stream.
+ * Parses the data of one event of a stream.
  *
- * @throws ZodError or SyntaxError for anything that is none
+ * @throws ZodError or SyntaxError for data of any other format
  * @example
- * readMessage('{"moved":{"retry_after_ms":200}}') // { kind: 'moved', retryAfter: 200 }
+ * parseStreamMessage('{"moved":{"retry_after_ms":200}}') // { kind: 'moved', retryAfter: 200 }
  */
-export function readMessage (data: string): StreamMessage {
+export function parseStreamMessage (data: string): StreamMessage {
   const json: unknown = JSON.parse(data)
   const failure = failureSchema.safeParse(json)
   if (failure.success) return { kind: 'failure', failure: toFailure(failure.data) }
@@ -55,13 +55,13 @@
 }
 
 /**
- * Failure told by a whole response.
+ * Parses the failure in a complete response body.
  *
- * @returns undefined when the body is no failure of the system's own
+ * @returns undefined if the body is not a failure of the system
  * @example
- * readFailure(await readBody(response, address))?.verdict
+ * parseFailure(await readBody(response, address))?.verdict
  */
-export function readFailure (text: string): ServingError | undefined {
+export function parseFailure (text: string): ServingError | undefined {
   try {
     return toFailure(failureSchema.parse(JSON.parse(text)))
   } catch {
--- a/src/entry/forwarded.ts
+++ b/src/entry/forwarded.ts
@@ -1,5 +1,5 @@
 /** Conversion of answer parts to and from the messages in which nodes forward them. */
-import { fromWire, toWire } from '../peer/request.js'
+import { fromWireFailure, toWireFailure } from '../peer/request.js'
 import type { ForwardedPart } from '../peer/request.js'
 import type { AnswerPart } from '../request/index.js'
 
@@ -14,7 +14,7 @@
     case 'token': return { kind: 'token', offset: part.token.offset, text: part.token.text }
     case 'finished': return part
     case 'plain': return { kind: 'plain', response: { ...part.response, headers: part.response.headers.map(([name, value]) => [name, value]) } }
-    case 'failed': return { kind: 'failed', failure: toWire(part.failure) }
+    case 'failed': return { kind: 'failed', failure: toWireFailure(part.failure) }
     case 'moved': return part
   }
 }
@@ -28,7 +28,7 @@
 export function toAnswerPart (part: Exclude<ForwardedPart, { kind: 'found' | 'accepted' | 'waiting' | 'elsewhere' }>): AnswerPart {
   switch (part.kind) {
     case 'token': return { kind: 'token', token: { offset: part.offset, text: part.text } }
-    case 'failed': return { kind: 'failed', failure: fromWire(part.failure) }
+    case 'failed': return { kind: 'failed', failure: fromWireFailure(part.failure) }
     case 'finished': return part
     case 'plain': return part
     case 'moved': return part
--- a/src/entry/hand-over.ts
+++ b/src/entry/hand-over.ts
@@ -7,7 +7,7 @@
 import type { NodeRecord } from '../membership/index.js'
 import { PEER_TIMEOUT, peerFailure } from '../peer/client.js'
 import type { Peers } from '../peer/client.js'
-import type { ForwardedPart, HandedExecution, HandOver } from '../peer/request.js'
+import type { ForwardedPart, HandedOverExecution, HandOver } from '../peer/request.js'
 import type { HomeRecord, HomeTable, StreamPosition } from '../request/index.js'
 import { decideContinuation, decideHandOver, splitIntoMessages, verdictForOutcome } from '../request/index.js'
 import type { Execution } from './execution.js'
@@ -94,7 +94,7 @@
  * @example
  * for (const handed of handOver.executions) continueHandedOver(executions, handed, handOver.from)
  */
-export function continueHandedOver (executions: Executions, handed: HandedExecution, from: Incarnation): void {
+export function continueHandedOver (executions: Executions, handed: HandedOverExecution, from: Incarnation): void {
   const start = {
     request: handed.request,
     traceparent: handed.traceparent,
@@ -185,7 +185,7 @@
  * the requests. Ids are assigned to one successor before the message is sent. They are assigned to another one only if
  * no byte of the message was written or if the first successor refused it.
  */
-async function sendToSuccessor (options: HandOverOptions, records: readonly HomeRecord[], executions: readonly HandedExecution[]): Promise<SendResult> {
+async function sendToSuccessor (options: HandOverOptions, records: readonly HomeRecord[], executions: readonly HandedOverExecution[]): Promise<SendResult> {
   const { home, log } = options
   for (const successor of options.successors()) {
     const assigned = new Set(home.assign(records.map((record) => record.id), successor.incarnation))
@@ -225,7 +225,7 @@
   return doubtful ? 'doubtful' : 'refused'
 }
 
-async function toHandedExecution (options: HandOverOptions, execution: Execution, position: StreamPosition | undefined): Promise<HandedExecution> {
+async function toHandedExecution (options: HandOverOptions, execution: Execution, position: StreamPosition | undefined): Promise<HandedOverExecution> {
   const { request, answer, accepted, dispatched, recomputedTokens, traceparent, firstTokenAt } = execution
   const now = options.clock.now()
   const end = answer.end()
--- a/src/entry/reclaim-coordinator.ts
+++ b/src/entry/reclaim-coordinator.ts
@@ -9,7 +9,7 @@
 import type { Configuration } from '../configuration/index.js'
 import type { RequestId, UpstreamName } from '../identifiers.js'
 import { score } from '../membership/index.js'
-import type { PlanRequest, ReclaimHandlers, TurnEnd, TurnRequest } from '../peer/reclaim.js'
+import type { PlanRequest, ReclaimHandlers, ExportEndMessage, ExportRequestMessage } from '../peer/reclaim.js'
 import { createEngine } from '../protocols/engine.js'
 import type { Connections } from '../protocols/http.js'
 import type { LoadReport, UpstreamView } from '../upstream/index.js'
@@ -114,7 +114,7 @@
     return state
   }
 
-  function turn (request: TurnRequest): Promise<{ go: boolean }> {
+  function turn (request: ExportRequestMessage): Promise<{ go: boolean }> {
     const state = stateOf(request.upstream, clock.now() + request.remainingMs)
     return new Promise((resolve) => {
       state.pendingExports.set(request.id, (go) => resolve({ go }))
@@ -122,7 +122,7 @@
     })
   }
 
-  function turnEnded (end: TurnEnd): void {
+  function turnEnded (end: ExportEndMessage): void {
     const state = states.get(end.upstream)
     if (state !== undefined) applyDecisions(state, state.exportQueue.ended(end.id, end.moved, clock.now()))
   }
--- a/src/entry/request-handlers.ts
+++ b/src/entry/request-handlers.ts
@@ -4,7 +4,7 @@
 import type { Incarnation } from '../identifiers.js'
 import type { HomeTable } from '../request/index.js'
 import type { ForwardedPart, RequestHandlers } from '../peer/request.js'
-import { toWire } from '../peer/request.js'
+import { toWireFailure } from '../peer/request.js'
 import type { AnswerPart } from '../request/index.js'
 import { toServingError } from '../verdict.js'
 import { localSource } from './answer-source.js'
@@ -38,7 +38,7 @@
       yield { kind: 'found', class: located.execution.request.class }
       yield * withKeepAlive(localSource(located.execution, clock), offset, signal)
     } catch (error) {
-      yield { kind: 'failed', failure: toWire(toServingError(error, 'may-have-run')) }
+      yield { kind: 'failed', failure: toWireFailure(toServingError(error, 'may-have-run')) }
     }
   }
 
--- a/src/events/catalogue.ts
+++ b/src/events/catalogue.ts
@@ -1,15 +1,18 @@
 /**
- * Every line that a gateway node writes: its event, the facts that go with it, and what it says. Units are
- * milliseconds where a fact names a time. The node only takes the types from here, so that a start
- * doesn't pay for the schemas; readers of logs and tests check lines against them.
+ * Catalogue of all log events of a gateway node with their fields. Times and durations are in milliseconds.
+ *
+ * The node imports only the types, so that its start does not spend time on building the schemas. Log readers and tests
+ * use the schemas to check log lines.
  */
 import * as z from 'zod'
 
+/** Message of an error. */
 const error = z.string()
 const count = z.number().int().nonnegative()
 const duration = z.number().nonnegative()
 const request = z.string().optional()
 
+/** Fields of events about one upstream. */
 const upstreamFacts = {
   upstream: z.string(),
   service: z.string(),
@@ -20,21 +23,22 @@
   source: z.enum(['watch', 'listing'])
 }
 
+/** Fields of events about an order of upstreams. */
 const orderFacts = { service: z.string(), failureDomain: z.string(), reclaimable: z.boolean(), desired: count }
 
-const taskFailing = z.strictObject({ error })
-const nothing = z.strictObject({})
+const taskFailure = z.strictObject({ error })
+const noFacts = z.strictObject({})
 
-/** How old what a node goes by is: the configuration, the view of upstreams, and the nodes that it knows. */
-const sources = { configuration: count.optional(), configurationAge: duration.optional(), upstreamsAge: duration.optional(), nodes: count }
+/** Configuration version of the node, ages of its configuration and its view of upstreams, and number of known nodes. */
+const freshnessFacts = { configuration: count.optional(), configurationAge: duration.optional(), upstreamsAge: duration.optional(), nodes: count }
 
-/** Schemas of all events by name; the description says what the line means. */
+/** Schemas of the fields of all events, by event name. The description of a schema is the meaning of the event. */
 export const EVENTS = {
   'node-started': z.strictObject({ incarnation: z.string(), failureDomain: z.string(), front: z.string() }).describe('the process listens; `incarnation` is new with each start'),
   'node-stopping': z.strictObject({ inFlight: count, grace: duration }).describe('asked to stop; `grace` is left until what still runs is cut off'),
   'requests-cut-off': z.strictObject({ inFlight: count }).describe('the grace ended before these requests did'),
   'last-counts-not-written': z.strictObject({ error }).describe('what was served during the stop is missing in the usage of its window'),
-  'node-stopped': nothing.describe('the last line of a planned stop'),
+  'node-stopped': noFacts.describe('the last line of a planned stop'),
   'withdrawal-failed': z.strictObject({ error }).describe('the record of a stopping node stands until its lease ends'),
   'settings-reloaded': z.strictObject({ reason: z.string(), changed: z.string(), afterRestart: z.string() }).describe('new settings; `afterRestart` names those that wait for the next start'),
   'settings-unchanged': z.strictObject({ reason: z.string() }).describe('a signal to reload, and nothing new'),
@@ -61,8 +65,8 @@
   'rollout-status-removed': z.strictObject({ key: z.string() }).describe('somebody removed it; what this node knew holds'),
   'rollout-decided': z.strictObject({ service: z.string(), version: z.string(), stage: z.string(), verdict: z.string().optional(), sent: count.optional(), exposed: count.optional(), running: count.optional(), elapsed: z.number().optional(), outcome: z.string(), fencing: count }).describe('the holder of the duties writes the next stage: of `sent` requests since the order the new version got `exposed`, and `running` still run at the versions before'),
   'rollout-stopped': z.strictObject({ service: z.string(), version: z.string(), route: z.string(), fault: z.enum(['failing', 'slow']), sent: count, exposed: count, order: count }).describe('this node sends nothing more to the version, by what all nodes saw of it on this route'),
-  'rollouts-failing': taskFailing.describe('the holder can\'t decide or write a stage'),
-  'rollouts-works-again': nothing.describe('and can again'),
+  'rollouts-failing': taskFailure.describe('the holder can\'t decide or write a stage'),
+  'rollouts-works-again': noFacts.describe('and can again'),
   'upstream-new': z.strictObject(upstreamFacts).describe('it gets requests from now on'),
   'upstream-leaving': z.strictObject(upstreamFacts).describe('it gets nothing new; `leavesIn` where the platform said when it is gone'),
   'upstream-changed': z.strictObject(upstreamFacts).describe('another address under the same id'),
@@ -83,7 +87,7 @@
   'node-record-unreadable': z.strictObject({ key: z.string(), value: z.string() }).describe('a record was passed over'),
   'shares-dealt': z.strictObject({ nodes: count, heard: count }).describe('quotas and retry budgets are dealt to so many nodes from now on, of which `heard` tell their demand'),
   'duty-taken': z.strictObject({ fencing: count }).describe('this node reports usage and orders upstreams'),
-  'duty-lost': nothing.describe('it does not any more'),
+  'duty-lost': noFacts.describe('it does not any more'),
   'duty-superseded': z.strictObject({ fencing: count }).describe('the platform has seen a higher number; this one is not used again'),
   'duty-release-failed': z.strictObject({ error }).describe('the lease of the duties ends by itself'),
   'usage-decided': z.strictObject({ window: count, total: count, fencing: count, after: count.optional(), epoch: count.optional() }).describe('the counts of a window are fixed in the store, where the journal stood at `after`'),
@@ -92,40 +96,40 @@
   'usage-counts-unreadable': z.strictObject({ key: z.string() }).describe('the counts of one node were passed over'),
   'upstreams-ordered': z.strictObject({ ...orderFacts, running: count, load: z.number(), answer: z.string(), fencing: count }).describe('`load` engines are kept busy, so `desired` are to run in this pool'),
   'order-unanswered': z.strictObject({ ...orderFacts, error }).describe('the order may still be carried out; it is repeated'),
-  'request-sent': z.strictObject({ request, upstream: z.string(), send: count, reading: duration, waiting: duration, candidates: count, tries: z.string().optional(), ...sources }).describe('chosen among the candidates: `reading` of the prompt to be done there, `waiting` of other prompts before it; `tries` names a version that is rolled out'),
+  'request-sent': z.strictObject({ request, upstream: z.string(), send: count, reading: duration, waiting: duration, candidates: count, tries: z.string().optional(), ...freshnessFacts }).describe('chosen among the candidates: `reading` of the prompt to be done there, `waiting` of other prompts before it; `tries` names a version that is rolled out'),
   'send-not-run': z.strictObject({ request, upstream: z.string(), reason: z.string() }).describe('the upstream did not run it and never will'),
   'attempt-broken': z.strictObject({ request, upstream: z.string(), events: count, attempts: count, after: duration, reason: z.string() }).describe('it may have run and broke off after so many events'),
   'run-moved': z.strictObject({ request, upstream: z.string(), target: z.string(), outcome: z.string(), took: duration }).describe('its upstream leaves; the run goes on at the target unless the outcome says why not'),
   'move-unanswered': z.strictObject({ request, upstream: z.string(), target: z.string(), error }).describe('nobody knows whether the run was moved; it is broken off'),
   'evacuation-failed': z.strictObject({ upstream: z.string(), error }).describe('a fault of the program: runs were not moved'),
   'repeat-refused': z.strictObject({ request, reason: z.string(), attempts: count, unrun: count }).describe('it is not sent once more, and why'),
-  'upstream-not-found': z.strictObject({ request, service: z.string(), ready: count, tried: count, waited: duration, withheld: duration.optional(), ...sources }).describe('no upstream of the service may take it; the first that asked for less takes requests of this node again after `withheld`'),
+  'upstream-not-found': z.strictObject({ request, service: z.string(), ready: count, tried: count, waited: duration, withheld: duration.optional(), ...freshnessFacts }).describe('no upstream of the service may take it; the first that asked for less takes requests of this node again after `withheld`'),
   'quota-refused': z.strictObject({ request, organisation: z.string(), cost: z.number(), rate: z.number(), offered: z.number(), retryAfter: duration, nodes: count }).describe('the organisation\'s callers ask all nodes together for `offered` a second, and its rate and what it had left are used up'),
   'answer-late': z.strictObject({ request, route: z.string(), upstream: z.string(), failureDomain: z.string(), target: duration, waited: duration, sends: count, promptTokens: count.optional(), loads: z.string() }).describe('the first answer came after the target; `loads` has requests/reading at each upstream, the star marks the one that answered'),
   'request-served': z.strictObject({ request, route: z.string(), organisation: z.string().optional(), upstream: z.string(), attempts: count, unrun: count, events: count, firstAfter: duration, after: duration }).describe('answered whole; first answer and end after so long'),
-  'request-failed': z.strictObject({ request, route: z.string().optional(), organisation: z.string().optional(), code: z.string(), verdict: z.enum(['not-run', 'may-have-run', 'ran']), reason: z.string(), attempts: count.optional(), unrun: count.optional(), after: duration, retryAfter: duration.optional(), ...sources }).describe('not answered; the verdict says whether it may have run'),
+  'request-failed': z.strictObject({ request, route: z.string().optional(), organisation: z.string().optional(), code: z.string(), verdict: z.enum(['not-run', 'may-have-run', 'ran']), reason: z.string(), attempts: count.optional(), unrun: count.optional(), after: duration, retryAfter: duration.optional(), ...freshnessFacts }).describe('not answered; the verdict says whether it may have run'),
   'request-failed-unexpectedly': z.strictObject({ request, error }).describe('a fault of the program in one request'),
   'request-handler-failed': z.strictObject({ error }).describe('a fault of the program after the answer'),
   'sums-ended': z.strictObject({ error }).describe('a fault of the program: no sums are written any more'),
   'requests-summed': z.strictObject({ served: count, late: count, refused: count, lost: count, left: count, span: duration }).describe('requests that ended since the line before: in time, late, not run, may have run, left by their callers'),
-  'shares-failing': taskFailing.describe('the dealing of shares fails'),
-  'shares-works-again': nothing.describe('and works again'),
-  'usage-counts-failing': taskFailing.describe('this node\'s counts don\'t reach the store'),
-  'usage-counts-works-again': nothing.describe('and do again'),
-  'usage-report-failing': taskFailing.describe('the holder can\'t decide or report a window'),
-  'usage-report-works-again': nothing.describe('and can again'),
-  'scaling-failing': taskFailing.describe('the holder can\'t plan or order'),
-  'scaling-works-again': nothing.describe('and can again'),
+  'shares-failing': taskFailure.describe('the dealing of shares fails'),
+  'shares-works-again': noFacts.describe('and works again'),
+  'usage-counts-failing': taskFailure.describe('this node\'s counts don\'t reach the store'),
+  'usage-counts-works-again': noFacts.describe('and do again'),
+  'usage-report-failing': taskFailure.describe('the holder can\'t decide or report a window'),
+  'usage-report-works-again': noFacts.describe('and can again'),
+  'scaling-failing': taskFailure.describe('the holder can\'t plan or order'),
+  'scaling-works-again': noFacts.describe('and can again'),
   'lines-left-out': z.record(z.string(), z.union([z.string(), count])).describe('lines of each event that were left out since, to bound the volume')
 } as const satisfies Record<string, z.ZodType>
 
 /** Name of an event. */
 export type EventName = keyof typeof EVENTS
 
-/** Facts of one event. */
+/** Fields of one event. */
 export type EventFacts<Event extends EventName> = z.input<(typeof EVENTS)[Event]>
 
-/** Writes lines of the catalogue. */
+/** Log that accepts events of the catalogue only. */
 export interface EventLog {
   info<Event extends EventName> (event: Event, facts?: EventFacts<Event>): void
   warn<Event extends EventName> (event: Event, facts?: EventFacts<Event>): void
--- a/src/events/line.ts
+++ b/src/events/line.ts
@@ -1,15 +1,15 @@
-/** Lines of logs as they are read back: what is no line of a node is passed over. */
+/** Parser for the log lines of gateway nodes. */
 import * as z from 'zod'
 import type { Milliseconds } from '../clock.js'
 import { EVENTS } from './catalogue.js'
 import type { EventName } from './catalogue.js'
 
-/** Facts as they stand in a line. */
+/** Fields of a log line. */
 export type Facts = Readonly<Record<string, string | number | boolean>>
 
-/** One line. */
+/** One log line. */
 export interface LoggedLine {
-  /** Wall time at the process that wrote it; clocks of several processes may differ. */
+  /** Wall time of the process that wrote the line. The clocks of processes may differ. */
   readonly time: Milliseconds
   readonly process: string
   readonly event: EventName
@@ -21,9 +21,9 @@
 const factSchema = z.union([z.string(), z.number(), z.boolean()])
 
 /**
- * Reads one line. What stands before the first brace is skipped: collectors of logs write a time or a name there.
+ * Parses one log line. Text before the first brace is skipped, because log collectors write a time or a name there.
  *
- * @returns undefined for what is no line of a node, or of an event that this version doesn't know
+ * @returns undefined if the text is not a log line of a node, or if its event is unknown to this version
  * @example
  * readLine('{"time":"2026-01-01T00:00:00.000Z","level":"info","process":"a","event":"node-stopped"}')?.event
  */
@@ -49,7 +49,7 @@
   try {
     return JSON.parse(text)
   } catch {
-    // Logs hold lines of other programs, and the last line of a killed process is torn.
+    // Logs also contain lines of other programs, and the last line of a killed process may be incomplete.
     return undefined
   }
 }
--- a/src/gateway/stream-relay.ts
+++ b/src/gateway/stream-relay.ts
@@ -1,6 +1,6 @@
 /** Relays an upstream's server-sent events as they arrive. Only complete events are relayed. */
 import type { ServerResponse } from 'node:http'
-import { writeSlowly } from '../caller/http.js'
+import { writeWithBackpressure } from '../caller/http.js'
 import { createEventSplitter } from './event-stream.js'
 import type { UpstreamAnswer } from './exchange.js'
 
@@ -35,7 +35,7 @@
       onEvents(events.count)
       progress.events += events.count
       progress.lastId = events.lastId ?? progress.lastId
-      await writeSlowly(response, events.bytes, signal)
+      await writeWithBackpressure(response, events.bytes, signal)
     }
   } catch (error) {
     return { kind: 'broken', reason: String((error as Error).message) }
--- a/src/operator/api.ts
+++ b/src/operator/api.ts
@@ -6,7 +6,7 @@
 import type restana from 'restana'
 import type * as z from 'zod'
 import { plannerHistorySchema } from '../capacity/index.js'
-import { guarded, readBody, sendJson } from '../caller/http.js'
+import { withErrorResponse, readBody, sendJson } from '../caller/http.js'
 import type { ApiRequest } from '../caller/http.js'
 import type { Milliseconds } from '../clock.js'
 import { HOUR, SECOND } from '../clock.js'
@@ -44,7 +44,7 @@
 export function registerOperatorApi (service: Service, context: OperatorContext): void {
   registerGauges(context)
   const refresh = createRefresh(context)
-  const operators = (route: Route) => guarded(async (request, response) => {
+  const operators = (route: Route) => withErrorResponse(async (request, response) => {
     authenticateOperator(context, request)
     sendJson(response, 200, await route(request))
   })
@@ -74,7 +74,7 @@
 /** An organisation reads its own sums and nobody else's; instances are not named to it. */
 function registerOrganisationReport (service: Service, context: OperatorContext): void {
   const read = createOrganisationReader(context)
-  service.get('/v1/report', guarded(async (request, response) => {
+  service.get('/v1/report', withErrorResponse(async (request, response) => {
     const organisation = authenticateOrganisation(context, request)
     sendJson(response, 200, withoutNodes(await read(organisation)))
   }))
--- a/src/operator/command/logs.ts
+++ b/src/operator/command/logs.ts
@@ -2,8 +2,8 @@
 import { readFileSync } from 'node:fs'
 import type { Milliseconds } from '../../clock.js'
 import { SECOND } from '../../clock.js'
-import { DAY_OUTCOMES, readLine, summarizeDay, tellStory } from '../../events/index.js'
-import type { LoggedLine, Story, StoryEnd, StoryEntry } from '../../events/index.js'
+import { DAY_OUTCOMES, readLine, summarizeDay, reconstructTimeline } from '../../events/index.js'
+import type { LoggedLine, RequestTimeline, TimelineEnd, TimelineEntry } from '../../events/index.js'
 import { countText } from '../../report/index.js'
 import { ServingError } from '../../verdict.js'
 import { dayPage } from './day-page.js'
@@ -48,7 +48,7 @@
  * explainFromLogs(readLogs(['node-1.log']), output, '05a10e9343c8f54a', {})
  */
 export function explainFromLogs (lines: readonly LoggedLine[], output: CommandOutput, id: string, options: { readonly json?: boolean | undefined }): void {
-  const story = tellStory(lines, id)
+  const story = reconstructTimeline(lines, id)
   if (story === undefined) throw new ServingError(`no line of ${countText(lines.length)} names request "${id}"; ${leftOutText(lines)}`, { code: 'not-found', verdict: 'not-run' })
   if (options.json === true) return output.out(jsonText(story))
   output.out(`${id}: ${endText(story.end)}\n`)
@@ -81,7 +81,7 @@
   output.out(alignColumns(['time', ...DAY_OUTCOMES], rows))
 }
 
-function endText (end: StoryEnd): string {
+function endText (end: TimelineEnd): string {
   switch (end.kind) {
     case 'served': return end.late ? 'answered late' : 'answered in time'
     case 'failed': return `failed with ${end.code}, ${end.verdict}`
@@ -90,12 +90,12 @@
   }
 }
 
-function storyRow ({ line, about, decisive }: StoryEntry, id: string, start: Milliseconds): string[] {
+function storyRow ({ line, about, decisive }: TimelineEntry, id: string, start: Milliseconds): string[] {
   const facts = Object.entries(line.facts).filter(([, value]) => value !== id).map(([name, value]) => `${name}=${value}`).join(' ')
   return [decisive ? '->' : about === 'belief' ? '·' : '', clockText(line.time), `${line.time - start} ms`, line.process, line.event, facts]
 }
 
-function missingText (story: Story): string[] {
+function missingText (story: RequestTimeline): string[] {
   const texts = story.gaps.map((gap) => `${gap.process} left out ${countText(gap.count)} lines of ${gap.event} until ${clockText(gap.at)}; some may be of this request.`)
   if (story.end.kind === 'not-told') texts.push('No line tells its end: it was left out, the request was still open, or its process ended and the logs end with it.')
   return texts
--- a/src/peer/agreement-client.ts
+++ b/src/peer/agreement-client.ts
@@ -1,7 +1,7 @@
 /**
- * Calls about agreement, by tRPC over plain HTTP requests. They are many and small, so what rides
- * with each counts: the headers that a browser's `fetch` adds, and the framing of batches and
- * streams, are left out. The figures are in the measurements of agreement.
+ * tRPC client for the agreement procedures. The calls are frequent and small, so the overhead of each call matters.
+ * The client sends plain HTTP requests, without the default headers of `fetch` and without the framing of batches
+ * and streams.
  */
 import { createTRPCClient, httpLink } from '@trpc/client'
 import { createLinkFetch } from './fetch.js'
@@ -11,7 +11,9 @@
 import type { PeerRouter } from './router.js'
 
 /**
- * @param address where the peer listens for peers
+ * Creates the client of one peer. The bytes of its messages are not counted.
+ *
+ * @param address address of the peer's listener for peers
  * @example
  * const reply = await createAgreementClient(connections, settings.peer_key, address).agreement.exchange.mutate(message)
  */
--- a/src/peer/client.ts
+++ b/src/peer/client.ts
@@ -1,4 +1,4 @@
-/** Calls to peers, with a bound on each and a count of the bytes. */
+/** tRPC clients for calls to peers. The bytes of the message bodies are counted. */
 import { pipeline, Transform } from 'node:stream'
 import { createTRPCClient, httpBatchLink, httpBatchStreamLink, TRPCClientError } from '@trpc/client'
 import type { TRPCClient } from '@trpc/client'
@@ -8,30 +8,36 @@
 import { connectionFailure } from '../protocols/http.js'
 import type { Connections } from '../protocols/http.js'
 import { ServingError } from '../verdict.js'
-import { createLinkFetch, isOk, linkExchange } from './fetch.js'
+import { createLinkFetch, isSuccess, sendLinkRequest } from './fetch.js'
 import type { ByteCounter } from './fetch.js'
 import type { PeerRouter } from './router.js'
 
-/** One peer as this node calls it. */
+/** Client of one peer. */
 export type PeerClient = TRPCClient<PeerRouter>
 
-/** The peers of a node. */
+/** Clients of all peers of a node, by address. */
 export interface Peers {
-  /** For short calls; those made together share one exchange. */
+  /** Client for short calls. Calls that are made at the same time share one HTTP exchange. */
   at (address: Address): PeerClient
-  /** For streams: each call is an exchange of its own, which its signal ends. */
+  /** Client for streams. Each call is a separate HTTP exchange, which ends when the signal of the call aborts. */
   streamAt (address: Address): PeerClient
-  /** Bytes of messages sent to and received from peers, bodies only. */
+  /** Total bytes of message bodies that were sent to and received from peers. */
   bytes (): { sent: number, received: number }
 }
 
-/** Bound on the silence of a peer; on a timeout the connection is destroyed and the next call opens a new one. */
+/**
+ * Maximum time without data from a peer during a call. After a timeout the connection is destroyed, and the next call
+ * opens a new connection.
+ */
 export const PEER_TIMEOUT: Milliseconds = 2 * SECOND
 
-/** Short calls that share one exchange. */
-const MOST_CALLS = 32
+/** Maximum number of short calls in one HTTP exchange. */
+const MAX_CALLS_PER_BATCH = 32
 
 /**
+ * Creates the clients of a node's peers. A client is created at its first use and is kept.
+ *
+ * @param peerKey shared secret of the nodes
  * @example
  * const reply = await createPeers(connections, settings.peer_key).at(address).agreement.exchange.mutate(message)
  */
@@ -40,11 +46,11 @@
   const streamClients = new Map<Address, PeerClient>()
   const headers = { authorization: `Bearer ${peerKey}` }
   const counter: ByteCounter = { sent: 0, received: 0 }
-  const fetchWhole = createLinkFetch(connections, counter)
+  const fetchBuffered = createLinkFetch(connections, counter)
 
   async function fetchStream (url: unknown, options: object = {}): Promise<any> {
-    const response = await linkExchange(connections, counter, url, options)
-    if (!isOk(response)) return { ok: false, status: response.statusCode, headers: response.headers, json: () => response.body.json() }
+    const response = await sendLinkRequest(connections, counter, url, options)
+    if (!isSuccess(response)) return { ok: false, status: response.statusCode, headers: response.headers, json: () => response.body.json() }
     const body = new Transform({
       transform: (chunk: Buffer, _encoding, done) => {
         counter.received += chunk.length
@@ -56,7 +62,7 @@
   }
 
   function createClient (address: Address): PeerClient {
-    return createTRPCClient<PeerRouter>({ links: [httpBatchLink({ url: `http://${address}`, maxItems: MOST_CALLS, headers, fetch: fetchWhole })] })
+    return createTRPCClient<PeerRouter>({ links: [httpBatchLink({ url: `http://${address}`, maxItems: MAX_CALLS_PER_BATCH, headers, fetch: fetchBuffered })] })
   }
 
   function createStreamClient (address: Address): PeerClient {
@@ -71,7 +77,8 @@
 }
 
 /**
- * Failure of a call to a peer as a {@link ServingError}.
+ * Converts the failure of a call to a peer into a {@link ServingError}. A failure that the peer reported has the code
+ * `upstream-refused` and the verdict `may-have-run`.
  *
  * @example
  * try { await peer.agreement.exchange.mutate(message) } catch (error) { throw peerFailure(error, address) }
@@ -82,8 +89,8 @@
   return connectionFailure((error.cause as { cause?: unknown } | undefined)?.cause ?? error.cause ?? error, address)
 }
 
-function findOrCreate (known: Map<Address, PeerClient>, address: Address, create: (address: Address) => PeerClient): PeerClient {
-  const client = known.get(address) ?? create(address)
-  known.set(address, client)
+function findOrCreate (clients: Map<Address, PeerClient>, address: Address, create: (address: Address) => PeerClient): PeerClient {
+  const client = clients.get(address) ?? create(address)
+  clients.set(address, client)
   return client
 }
--- a/src/peer/fetch.ts
+++ b/src/peer/fetch.ts
@@ -1,14 +1,17 @@
-/** The part of `fetch` that tRPC's links use, over undici; a whole one costs several times the processor time. */
+/**
+ * The subset of `fetch` that the links of tRPC use, implemented with undici. A complete `fetch` needs several times the
+ * processor time.
+ */
 import type { Dispatcher } from 'undici'
 import type { Connections } from '../protocols/http.js'
 
-/** Counts the bytes of bodies. */
+/** Total bytes of message bodies. */
 export interface ByteCounter {
   sent: number
   received: number
 }
 
-/** What tRPC's links pass to `fetch`. */
+/** Options that a tRPC link passes to `fetch`. */
 export interface LinkRequest {
   readonly method?: 'GET' | 'POST'
   readonly headers?: Record<string, string>
@@ -17,12 +20,12 @@
 }
 
 /**
- * Sends what a link asks for and returns the response with its body unread.
+ * Sends the request of a tRPC link and returns the response before its body is read.
  *
  * @example
- * const response = await linkExchange(connections, counter, url, options)
+ * const response = await sendLinkRequest(connections, counter, url, options)
  */
-export function linkExchange (connections: Connections, counter: ByteCounter, url: unknown, options: object): Promise<Dispatcher.ResponseData> {
+export function sendLinkRequest (connections: Connections, counter: ByteCounter, url: unknown, options: object): Promise<Dispatcher.ResponseData> {
   const { method, headers, body, signal } = options as LinkRequest
   counter.sent += body?.length ?? 0
   const { origin, pathname, search } = new URL(String(url))
@@ -30,24 +33,27 @@
 }
 
 /**
- * A `fetch` for links whose answers are short.
+ * Creates a `fetch` function for tRPC links. The function reads the complete response body into memory, so it suits
+ * links with short responses only.
  *
  * @example
  * httpBatchLink({ url, fetch: createLinkFetch(connections, counter) })
  */
 export function createLinkFetch (connections: Connections, counter: ByteCounter): (url: unknown, options?: object) => Promise<any> {
   return async (url, options = {}) => {
-    const response = await linkExchange(connections, counter, url, options)
+    const response = await sendLinkRequest(connections, counter, url, options)
     const text = await response.body.text()
     counter.received += text.length
-    return { ok: isOk(response), status: response.statusCode, headers: response.headers, json: async () => JSON.parse(text) }
+    return { ok: isSuccess(response), status: response.statusCode, headers: response.headers, json: async () => JSON.parse(text) }
   }
 }
 
 /**
+ * Returns whether the status is 2xx.
+ *
  * @example
- * if (!isOk(response)) return
+ * if (!isSuccess(response)) return
  */
-export function isOk (response: Dispatcher.ResponseData): boolean {
+export function isSuccess (response: Dispatcher.ResponseData): boolean {
   return response.statusCode >= 200 && response.statusCode < 300
 }
--- a/src/peer/inquiry.ts
+++ b/src/peer/inquiry.ts
@@ -1,37 +1,47 @@
-/** Procedures by which a node answers operators' questions that reach further than itself. */
+/** Procedures by which a node collects data from its peers to answer an operator. */
 import * as z from 'zod'
 import { incarnationSchema, requestIdSchema } from '../identifiers.js'
 import type { RequestId } from '../identifiers.js'
 import { requestFactsSchema } from '../report/index.js'
 import { peerProcedure, peerRouter } from './procedure.js'
 
-/** What a node remembers of one request; nothing when it never saw it or has forgotten it. */
+/**
+ * Facts that a node has recorded about one request. `request` is missing if the node never received the request or
+ * has discarded its record.
+ */
 export const explanationSchema = z.object({ incarnation: incarnationSchema, request: requestFactsSchema.optional() })
 export type Explanation = z.infer<typeof explanationSchema>
 
-/** What is in force at a node. */
+/** Current state of a node. */
 export const nodeStateSchema = z.object({
   incarnation: incarnationSchema,
-  /** Configuration revision in force; 0 for none. */
+  /** Configuration revision in force, or 0 for none. */
   revision: z.number().int().nonnegative(),
-  /** Whether the node takes new work. */
+  /** Whether the node accepts new requests. */
   usable: z.boolean(),
-  /** Time since its report was last confirmed, in milliseconds; none: not yet. */
+  /** Time in milliseconds since the node's report was last confirmed. Missing before the first confirmation. */
   reportAge: z.number().optional(),
-  /** Requests open at it. */
+  /** Number of open requests at the node. */
   open: z.number().int().nonnegative()
 })
 export type NodeState = z.infer<typeof nodeStateSchema>
 
-/** What a node does with such questions. */
+/** Handlers of the inquiry procedures at a node. */
 export interface InquiryHandlers {
+  /** Returns the recorded facts about a request. */
   explain (id: RequestId): Explanation
+  /** Returns the current state of the node. */
   state (): NodeState
-  /** Writes the node's report now. */
+  /** Writes the node's report immediately. */
   writeReport (): Promise<void>
 }
 
-/** @example inquiryProcedures(createInquiryHandlers(parts)) */
+/**
+ * Creates the router of the inquiry procedures.
+ *
+ * @example
+ * inquiryProcedures(createInquiryHandlers(parts))
+ */
 export function inquiryProcedures (handlers: InquiryHandlers) {
   return peerRouter({
     explain: peerProcedure.input(z.object({ id: requestIdSchema })).output(explanationSchema).query(({ input }) => handlers.explain(input.id)),
--- a/src/peer/notes.ts
+++ b/src/peer/notes.ts
@@ -1,15 +1,24 @@
-/** Procedure for notes about open requests, from a home to its buddy. */
+/** Procedure by which the home of requests sends notes about its open requests to its buddy. */
 import { noteBatchSchema } from '../request/index.js'
 import type { NoteBatch } from '../request/index.js'
 import { peerProcedure, peerRouter } from './procedure.js'
 
-/** What a buddy does with a batch. */
+/** Handler of note batches at a buddy. */
 export interface NoteHandlers {
-  /** `complete` is false when a batch before this one is missing: the home must tell all again. */
+  /**
+   * Stores the notes of a batch.
+   *
+   * @returns `complete` is false if an earlier batch is missing; the home must then send all notes again
+   */
   receive (batch: NoteBatch): { complete: boolean }
 }
 
-/** @example noteProcedures({ receive: (batch) => ({ complete: keeper.receive(batch, clock.now()) }) }) */
+/**
+ * Creates the router of the note procedure.
+ *
+ * @example
+ * noteProcedures({ receive: (batch) => ({ complete: noteReceiver.receive(batch, clock.now()) }) })
+ */
 export function noteProcedures (handlers: NoteHandlers) {
   return peerRouter({
     receive: peerProcedure.input(noteBatchSchema).mutation(({ input }) => handlers.receive(input))
--- a/src/peer/procedure.ts
+++ b/src/peer/procedure.ts
@@ -1,18 +1,18 @@
-/** The procedure that all peer routers build on: only the system's own processes may call it. */
+/** Base procedure of all peer routers. It accepts calls from processes of the system only. */
 import { initTRPC, TRPCError } from '@trpc/server'
 
-/** What every procedure knows of its caller. */
+/** Context of a call. */
 export interface PeerContext {
-  /** The caller presented the peers' key. */
+  /** Whether the caller presented the peers' key. */
   readonly authorised: boolean
 }
 
 const trpc = initTRPC.context<PeerContext>().create()
 
-/** Builds routers out of procedures. */
+/** Creates a router from procedures. */
 export const peerRouter = trpc.router
 
-/** A procedure behind the peers' key. */
+/** Procedure that rejects a call without the peers' key as `UNAUTHORIZED`. */
 export const peerProcedure = trpc.procedure.use(({ ctx, next }) => {
   if (!ctx.authorised) throw new TRPCError({ code: 'UNAUTHORIZED', message: 'the peers\' key is required' })
   return next()
--- a/src/peer/reclaim.ts
+++ b/src/peer/reclaim.ts
@@ -1,65 +1,81 @@
-/** Procedures about reclaims of upstreams: notices are passed on, and one node plans for all. */
+/**
+ * Procedures about reclaims of upstreams. Nodes forward reclaim notices to each other, and one node plans the exports of
+ * a leaving upstream for all nodes.
+ */
 import * as z from 'zod'
 import { incarnationSchema, requestIdSchema, upstreamNameSchema } from '../identifiers.js'
 import { noticeMessageSchema, openStreamSchema, streamPlanSchema } from '../upstream/reclaim/index.js'
 import type { StreamPlan } from '../upstream/reclaim/index.js'
 import { peerProcedure, peerRouter } from './procedure.js'
 
-const MOST_NOTICES = 1_000
-const MOST_STREAMS = 2_000
+/** Maximum number of notices in one message. */
+const MAX_NOTICES = 1_000
 
-/** Notices that are new to the sender. */
+/** Maximum number of streams in one plan request. */
+const MAX_STREAMS = 2_000
+
+/** Reclaim notices that the sender has received for the first time. */
 export const noticesMessageSchema = z.object({
   from: incarnationSchema,
-  notices: z.array(noticeMessageSchema).max(MOST_NOTICES)
+  notices: z.array(noticeMessageSchema).max(MAX_NOTICES)
 })
 export type NoticesMessage = z.infer<typeof noticesMessageSchema>
 
-/** The streams that one node has open at a leaving upstream. */
+/** Request for plans: the open streams of one node at a leaving upstream. */
 export const planRequestSchema = z.object({
   from: incarnationSchema,
   upstream: upstreamNameSchema,
-  /** Time until the upstream ends, as the sender knows it. */
+  /** Time in milliseconds until the upstream ends, as known to the sender. */
   remainingMs: z.number().nonnegative(),
-  streams: z.array(openStreamSchema).max(MOST_STREAMS)
+  streams: z.array(openStreamSchema).max(MAX_STREAMS)
 })
 export type PlanRequest = z.infer<typeof planRequestSchema>
 
-/** Plans for exactly the streams that were asked about. */
+/** Plans for exactly the streams of the request. */
 export const planAnswerSchema = z.object({ plans: z.array(streamPlanSchema) })
 
-/** An export that wants its turn on the link of a leaving upstream. */
-export const turnRequestSchema = z.object({
+/** Request to add an export to the export queue of a leaving upstream's link. */
+export const exportRequestSchema = z.object({
   upstream: upstreamNameSchema,
   id: requestIdSchema,
+  /** Tokens to export. */
   tokens: z.number().nonnegative(),
-  /** Planned start; smaller goes first. */
+  /** Planned start. Exports with a lower rank run first. */
   rank: z.number().nonnegative(),
-  /** Nothing but an export can save the stream. */
+  /** Whether the export is the only way to save the stream. */
   required: z.boolean(),
+  /** Time in milliseconds until the upstream ends, as known to the sender. */
   remainingMs: z.number().nonnegative()
 })
-export type TurnRequest = z.infer<typeof turnRequestSchema>
+export type ExportRequestMessage = z.infer<typeof exportRequestSchema>
 
-/** The export of a turn has ended. */
-export const turnEndSchema = z.object({ upstream: upstreamNameSchema, id: requestIdSchema, moved: z.boolean() })
-export type TurnEnd = z.infer<typeof turnEndSchema>
+/** Notification that a started export has ended. `moved` is true if the stream was exported. */
+export const exportEndSchema = z.object({ upstream: upstreamNameSchema, id: requestIdSchema, moved: z.boolean() })
+export type ExportEndMessage = z.infer<typeof exportEndSchema>
 
-/** What a node does with such messages. */
+/** Handlers of the reclaim procedures at a node. */
 export interface ReclaimHandlers {
+  /** Receives notices that a peer forwards. */
   notices (message: NoticesMessage): void
+  /** Resolves to the plans for the streams of the request. */
   plan (request: PlanRequest): Promise<{ plans: readonly StreamPlan[] }>
-  /** Resolves when it is the export's turn, or when it does not fit any more. */
-  turn (request: TurnRequest): Promise<{ go: boolean }>
-  turnEnded (end: TurnEnd): void
+  /** Queues an export. Resolves when the export may start, or with `go: false` when too little time is left for it. */
+  turn (request: ExportRequestMessage): Promise<{ go: boolean }>
+  /** Removes an ended export, so that the next export of the queue may start. */
+  turnEnded (end: ExportEndMessage): void
 }
 
-/** @example reclaimProcedures({ notices: keeper.heard, plan: planner.plan }) */
+/**
+ * Creates the router of the reclaim procedures.
+ *
+ * @example
+ * reclaimProcedures({ notices: noticeReceiver.receive, ...coordinator })
+ */
 export function reclaimProcedures (handlers: ReclaimHandlers) {
   return peerRouter({
     notices: peerProcedure.input(noticesMessageSchema).mutation(({ input }) => handlers.notices(input)),
     plan: peerProcedure.input(planRequestSchema).mutation(({ input }) => handlers.plan(input)),
-    turn: peerProcedure.input(turnRequestSchema).mutation(({ input }) => handlers.turn(input)),
-    turnEnded: peerProcedure.input(turnEndSchema).mutation(({ input }) => handlers.turnEnded(input))
+    turn: peerProcedure.input(exportRequestSchema).mutation(({ input }) => handlers.turn(input)),
+    turnEnded: peerProcedure.input(exportEndSchema).mutation(({ input }) => handlers.turnEnded(input))
   })
 }
--- a/src/peer/request.ts
+++ b/src/peer/request.ts
@@ -1,4 +1,4 @@
-/** Procedures about requests: what arrives at one node and runs at another. */
+/** Procedures about requests that arrive at one node and are executed by another node. */
 import * as z from 'zod'
 import { classNameSchema, incarnationSchema, organisationNameSchema, requestIdSchema } from '../identifiers.js'
 import { homeRecordSchema, requestSchema, streamPositionSchema } from '../request/index.js'
@@ -7,16 +7,16 @@
 import type { FailureCode } from '../verdict.js'
 import { peerProcedure, peerRouter } from './procedure.js'
 
-/** A send of a request that arrived at a node which is not its home. */
-export const forwardedSendSchema = z.object({
+/** Submission of a request by a caller to a node that is not the home of the request. */
+export const forwardedSubmissionSchema = z.object({
   request: requestSchema,
-  /** Tokens that the caller has already. */
+  /** Number of tokens that the caller has already received. */
   offset: z.number().int().nonnegative(),
   traceparent: z.string().optional()
 })
-export type ForwardedSend = z.infer<typeof forwardedSendSchema>
+export type ForwardedSubmission = z.infer<typeof forwardedSubmissionSchema>
 
-/** A caller that asks for the answer to an id. */
+/** Lookup of the answer to a request id by a caller. */
 export const forwardedLookupSchema = z.object({
   organisation: organisationNameSchema,
   id: requestIdSchema,
@@ -24,21 +24,21 @@
 })
 export type ForwardedLookup = z.infer<typeof forwardedLookupSchema>
 
-/** A failure on its way between nodes. */
-export const failureSchema = z.object({
+/** Serialised form of a failure between nodes. */
+export const wireFailureSchema = z.object({
   message: z.string(),
   code: z.string(),
   verdict: z.enum(['not-run', 'may-have-run', 'ran']),
   retryAfter: z.number().optional()
 })
-export type WireFailure = z.infer<typeof failureSchema>
+export type WireFailure = z.infer<typeof wireFailureSchema>
 
-/** One piece of an answer on its way between nodes. */
+/** Serialised form of one part of an answer between nodes. */
 export const forwardedPartSchema = z.discriminatedUnion('kind', [
-  /** The request is known here; always first. */
+  /** The node knows the request. This is always the first part. */
   z.object({ kind: z.literal('found'), class: classNameSchema }),
   z.object({ kind: z.literal('accepted') }),
-  /** Nothing new; the sender lives. */
+  /** Keep-alive message without content. */
   z.object({ kind: z.literal('waiting') }),
   z.object({ kind: z.literal('token'), offset: z.number().int().nonnegative(), text: z.string() }),
   z.object({ kind: z.literal('finished'), finish: z.enum(['stop', 'length']), usage: usageSchema }),
@@ -46,57 +46,63 @@
     kind: z.literal('plain'),
     response: z.object({ status: z.number().int(), headers: z.array(z.tuple([z.string(), z.string()])), body: z.string() })
   }),
-  z.object({ kind: z.literal('failed'), failure: failureSchema }),
+  z.object({ kind: z.literal('failed'), failure: wireFailureSchema }),
   z.object({ kind: z.literal('moved'), retryAfter: z.number() }),
-  /** Another node decides about this id. */
+  /** Another node holds the request; the lookup is to be repeated there. */
   z.object({ kind: z.literal('elsewhere'), incarnation: incarnationSchema })
 ])
 export type ForwardedPart = z.infer<typeof forwardedPartSchema>
 
-/** A request with all that its successor needs to go on with it. Durations in milliseconds before the hand-over. */
-export const handedExecutionSchema = z.object({
+/** State that a successor needs to continue a request. Ages are in milliseconds at the time of the hand-over. */
+export const handedOverExecutionSchema = z.object({
   request: requestSchema,
   accepted: z.boolean(),
-  /** Something was sent to an upstream and may have run. */
+  /** Whether an attempt was dispatched to an upstream and may have run. */
   dispatched: z.boolean(),
-  /** Tokens of the answer so far. */
+  /** Tokens of the answer that were generated so far. */
   tokens: z.array(z.string()),
-  /** The upstream's stream to attach to. */
+  /** Position in the stream of the upstream that the successor attaches to. */
   position: streamPositionSchema.optional(),
   age: z.number().nonnegative(),
   firstTokenAge: z.number().nonnegative().optional(),
   recomputedTokens: z.number().nonnegative(),
   traceparent: z.string().optional(),
-  /** The final mark, for an answer that has ended and can still be read. */
+  /** Final part of an answer that has ended and can still be read. */
   end: forwardedPartSchema.optional()
 })
-export type HandedExecution = z.infer<typeof handedExecutionSchema>
+export type HandedOverExecution = z.infer<typeof handedOverExecutionSchema>
 
-/** Part of a home's table on its way to a successor. */
+/** Batch of records and executions that a home hands over to a successor. */
 export const handOverSchema = z.object({
   from: incarnationSchema,
   records: z.array(homeRecordSchema),
-  executions: z.array(handedExecutionSchema)
+  executions: z.array(handedOverExecutionSchema)
 })
 export type HandOver = z.infer<typeof handOverSchema>
 
-/** What a node does when peers ask about requests. */
+/** Handlers of the request procedures at a node. */
 export interface RequestHandlers {
-  /** Runs or finds a request of which this node is the home or an heir. */
-  submit (send: ForwardedSend, signal: AbortSignal): AsyncIterable<ForwardedPart>
+  /** Executes or finds a request of which this node is the home or a successor. */
+  submit (submission: ForwardedSubmission, signal: AbortSignal): AsyncIterable<ForwardedPart>
+  /** Reads the answer to a known request. */
   attach (lookup: ForwardedLookup, signal: AbortSignal): AsyncIterable<ForwardedPart>
-  /** Whether this node decides about the id: as its home, or because it inherited it. */
+  /** Returns whether this node holds the request, as its home or after a hand-over. */
   locate (lookup: ForwardedLookup): { holds: boolean }
-  /** Takes part of a home's table, or none of it. Taking the same part twice changes nothing. */
+  /** Accepts a batch of a hand-over completely or not at all. Accepting the same batch twice has no further effect. */
   handOver (handOver: HandOver): { taken: boolean }
 }
 
 const neverAborts = new AbortController().signal
 
-/** @example requestProcedures({ submit, attach, locate }) */
+/**
+ * Creates the router of the request procedures.
+ *
+ * @example
+ * requestProcedures({ submit, attach, locate, handOver })
+ */
 export function requestProcedures (handlers: RequestHandlers) {
   return peerRouter({
-    submit: peerProcedure.input(forwardedSendSchema).mutation(async function * ({ input, signal }) {
+    submit: peerProcedure.input(forwardedSubmissionSchema).mutation(async function * ({ input, signal }) {
       yield * handlers.submit(input, signal ?? neverAborts)
     }),
     attach: peerProcedure.input(forwardedLookupSchema).mutation(async function * ({ input, signal }) {
@@ -108,18 +114,23 @@
 }
 
 /**
- * A failure as it crosses nodes.
+ * Serialises a failure for another node.
  *
  * @example
- * fromWire(toWire(failure)).verdict === failure.verdict
+ * fromWireFailure(toWireFailure(failure)).verdict === failure.verdict
  */
-export function toWire (failure: ServingError): WireFailure {
+export function toWireFailure (failure: ServingError): WireFailure {
   const { message, code, verdict, retryAfter } = failure
   return { message, code, verdict, ...(retryAfter === undefined ? {} : { retryAfter }) }
 }
 
-/** @example fromWire({ message: 'too busy', code: 'overloaded', verdict: 'not-run' }) */
-export function fromWire (failure: WireFailure): ServingError {
+/**
+ * Restores a failure that another node has serialised.
+ *
+ * @example
+ * fromWireFailure({ message: 'too busy', code: 'overloaded', verdict: 'not-run' })
+ */
+export function fromWireFailure (failure: WireFailure): ServingError {
   const { message, code, verdict, retryAfter } = failure
   return new ServingError(message, { code: code as FailureCode, verdict, ...(retryAfter === undefined ? {} : { retryAfter }) })
 }
--- a/src/peer/router.ts
+++ b/src/peer/router.ts
@@ -1,7 +1,4 @@
-/**
- * What nodes ask of each other, by tRPC (https://trpc.io/docs). Each matter has its own file of
- * procedures; {@link createPeerRouter} puts them together.
- */
+/** Router of all tRPC procedures (https://trpc.io/docs) that nodes call on each other, one sub-router for each file. */
 import { agreementProcedures } from './agreement.js'
 import type { AgreementHandlers } from './agreement.js'
 import { inquiryProcedures } from './inquiry.js'
@@ -14,7 +11,7 @@
 import { requestProcedures } from './request.js'
 import type { RequestHandlers } from './request.js'
 
-/** What a node does when a peer asks. */
+/** Handlers of all procedures at a node. */
 export interface PeerHandlers {
   readonly agreement: AgreementHandlers
   readonly inquiry: InquiryHandlers
@@ -24,8 +21,10 @@
 }
 
 /**
+ * Creates the router of a node.
+ *
  * @example
- * createPeerRouter({ agreement: membership.handlers, request: requestHandlers })
+ * createPeerRouter({ agreement: membership.handlers, inquiry, notes, reclaim, request: requestHandlers })
  */
 export function createPeerRouter (handlers: PeerHandlers) {
   return peerRouter({
@@ -37,5 +36,5 @@
   })
 }
 
-/** Type of the whole router, for clients. */
+/** Type of the router, from which clients derive the types of their calls. */
 export type PeerRouter = ReturnType<typeof createPeerRouter>
--- a/src/peer/server.ts
+++ b/src/peer/server.ts
@@ -1,4 +1,4 @@
-/** The peers' listener of a node. */
+/** HTTP server of a node for calls of its peers. */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import { createHTTPHandler } from '@trpc/server/adapters/standalone'
@@ -10,12 +10,14 @@
 import { answerSuspicion, SUSPICION_PATH, suspicionBatchSchema } from './suspicion.js'
 import type { SuspicionHandlers } from './suspicion.js'
 
-/** Largest peer message: a hand-over carries whole requests. */
-const LARGEST_BODY = 16_777_216
+/** Maximum size of a message body in bytes. The largest messages are hand-overs, which contain complete requests. */
+const MAX_BODY_BYTES = 16_777_216
 
 /**
- * @param peerKey shared secret of the system's own processes
- * @returns a server that the owner listens with and closes
+ * Creates the server of a node for its peers.
+ *
+ * @param peerKey shared secret of the processes of the system
+ * @returns a server that is not listening yet; the caller starts and closes the server
  * @example
  * const server = createPeerServer(settings.peer_key, handlers, permits.handlers)
  */
@@ -29,7 +31,7 @@
 
   const handleProcedures = createHTTPHandler({
     router: createPeerRouter(handlers),
-    maxBodySize: LARGEST_BODY,
+    maxBodySize: MAX_BODY_BYTES,
     createContext: ({ req }) => ({ authorised: isAuthorised(req) })
   })
 
@@ -40,7 +42,7 @@
 
   async function handleSuspicion (request: IncomingMessage, response: ServerResponse): Promise<void> {
     if (!isAuthorised(request)) throw new ServingError('the peers\' key is required', { code: 'unauthenticated', verdict: 'not-run' })
-    const batch = suspicionBatchSchema.safeParse(parseJson(await readBody(request, LARGEST_BODY)))
+    const batch = suspicionBatchSchema.safeParse(parseJson(await readBody(request, MAX_BODY_BYTES)))
     if (!batch.success) throw new ServingError('malformed message', { code: 'invalid-request', verdict: 'not-run' })
     sendJson(response, 200, { answers: batch.data.messages.map((message) => answerSuspicion(suspicion, message)) })
   }
--- a/src/peer/suspicion.ts
+++ b/src/peer/suspicion.ts
@@ -1,43 +1,47 @@
 /**
- * Messages about requests that crash upstreams: permits, isolation and evidence. There are two for each
- * dispatch, so they do not go by tRPC, whose framing costs several times their content: what is due to
- * one peer at a moment shares one small JSON exchange.
+ * Messages about requests that are suspected of crashing upstreams: permits, isolation and evidence. Each dispatch of
+ * an attempt needs two messages. They do not use tRPC, because its framing is several times larger than the messages.
+ * Messages that are due for the same peer at the same time share one JSON exchange instead.
  */
 import * as z from 'zod'
 import { incarnationSchema, upstreamNameSchema } from '../identifiers.js'
 import { evidenceSchema, heldPermitSchema, permitDecisionSchema, permitRequestSchema } from '../request/index.js'
 import type { Evidence, HeldPermit, PermitDecision, PermitEnd, PermitRequest } from '../request/index.js'
 
-/** Path of the exchange on the peers' listener. */
+/** Path of the exchange on the listener for peers. */
 export const SUSPICION_PATH = '/suspicion'
 
-const MOST_MESSAGES = 1_000
-const permitSchema = z.string().min(1).max(200)
+/** Maximum number of messages in one exchange, and of items of evidence in one message. */
+const MAX_MESSAGES = 1_000
 
-/** A suspect at an upstream. */
-export const isolationMessageSchema = z.object({ upstream: upstreamNameSchema, permit: permitSchema, holder: incarnationSchema })
+/** Id of a permit. */
+const permitIdSchema = z.string().min(1).max(200)
+
+/** A suspected request that occupies an upstream alone, identified by its permit. */
+export const isolationMessageSchema = z.object({ upstream: upstreamNameSchema, permit: permitIdSchema, holder: incarnationSchema })
 export type IsolationMessage = z.infer<typeof isolationMessageSchema>
 
+/** End of a permit, with the outcome of the attempt. */
 const permitEndMessageSchema = z.object({
-  permit: permitSchema,
+  permit: permitIdSchema,
   fingerprint: z.string().min(1),
   how: z.enum(['answered', 'crashed', 'withdrawn']),
   suspectedFor: z.array(z.string()).max(64).default([]),
   progressed: z.boolean().default(false)
 })
 
-/** What one node tells or asks another. */
+/** Message from one node to the owner of a fingerprint or of an upstream's name. */
 export const suspicionMessageSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('acquire'), request: permitRequestSchema }),
   z.object({ kind: z.literal('release'), end: permitEndMessageSchema }),
-  z.object({ kind: z.literal('observe'), evidence: z.array(evidenceSchema).max(MOST_MESSAGES) }),
+  z.object({ kind: z.literal('observe'), evidence: z.array(evidenceSchema).max(MAX_MESSAGES) }),
   z.object({ kind: z.literal('adopt'), permits: z.array(heldPermitSchema).max(10_000) }),
   z.object({ kind: z.literal('enter'), isolation: isolationMessageSchema }),
   z.object({ kind: z.literal('leave'), isolation: isolationMessageSchema })
 ])
 export type SuspicionMessage = z.infer<typeof suspicionMessageSchema>
 
-/** Answer to a message, by its kind. */
+/** Answer to a message. `taken` acknowledges a message that has no result. */
 export const suspicionAnswerSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('decided'), decision: permitDecisionSchema }),
   z.object({ kind: z.literal('admitted'), admitted: z.boolean() }),
@@ -45,24 +49,32 @@
 ])
 export type SuspicionAnswer = z.infer<typeof suspicionAnswerSchema>
 
-/** Messages of one exchange, answered in their order. */
-export const suspicionBatchSchema = z.object({ messages: z.array(suspicionMessageSchema).max(MOST_MESSAGES) })
+/** Request of one exchange. */
+export const suspicionBatchSchema = z.object({ messages: z.array(suspicionMessageSchema).max(MAX_MESSAGES) })
+
+/** Response of one exchange, with the answers in the order of the messages. */
 export const suspicionAnswersSchema = z.object({ answers: z.array(suspicionAnswerSchema) })
 
-/** What a node does as the owner of fingerprints and of upstreams' names. */
+/** Handlers at the node that owns fingerprints and names of upstreams. */
 export interface SuspicionHandlers {
+  /** Decides on a request for a permit. */
   acquire (request: PermitRequest): PermitDecision
+  /** Ends a permit. */
   release (end: PermitEnd): void
+  /** Records evidence of crashes. */
   observe (evidence: readonly Evidence[]): void
+  /** Adds permits whose previous owner leaves. This node becomes the owner of their fingerprints. */
   adopt (permits: readonly HeldPermit[]): void
+  /** Returns whether the suspected request may enter isolation at the upstream. */
   enter (message: IsolationMessage): boolean
+  /** Ends an isolation. */
   leave (message: IsolationMessage): void
 }
 
-const TAKEN: SuspicionAnswer = { kind: 'taken' }
+const ACKNOWLEDGEMENT: SuspicionAnswer = { kind: 'taken' }
 
 /**
- * Answers one message.
+ * Handles one message and returns its answer.
  *
  * @example
  * batch.messages.map((message) => answerSuspicion(handlers, message))
@@ -73,15 +85,15 @@
     case 'enter': return { kind: 'admitted', admitted: handlers.enter(message.isolation) }
     case 'release':
       handlers.release(message.end)
-      return TAKEN
+      return ACKNOWLEDGEMENT
     case 'observe':
       handlers.observe(message.evidence)
-      return TAKEN
+      return ACKNOWLEDGEMENT
     case 'adopt':
       handlers.adopt(message.permits)
-      return TAKEN
+      return ACKNOWLEDGEMENT
     case 'leave':
       handlers.leave(message.isolation)
-      return TAKEN
+      return ACKNOWLEDGEMENT
   }
 }
--- a/test/client/client.test.ts
+++ b/test/client/client.test.ts
@@ -1,4 +1,4 @@
-/** The callers' module against entry nodes that break, refuse and move. */
+/** Client library against entry nodes that close connections, refuse requests and move requests. */
 import assert from 'node:assert/strict'
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
@@ -6,7 +6,7 @@
 import { test } from 'node:test'
 import fc from 'fast-check'
 import { createClient } from '../../src/client/index.js'
-import { decideNextSend } from '../../src/client/decision.js'
+import { decideRetry } from '../../src/client/decision.js'
 import { addressSchema } from '../../src/identifiers.js'
 import { createRandom } from '../../src/random.js'
 import { ServingError } from '../../src/verdict.js'
@@ -16,7 +16,7 @@
 
 const TOKENS = ['Rinse ', 'the ', 'resin ', 'twice.']
 
-/** A node that gives its own address and answers sends by the given routes, in turn. */
+/** Entry node that returns its own address, and answers consecutive attempts with the given routes in order. */
 async function serveNode (routes: Route[]): Promise<{ server: Server, address: ReturnType<typeof addressSchema.parse>, seen: string[] }> {
   const seen: string[] = []
   const server = createServer((request, response) => {
@@ -57,9 +57,9 @@
 
 const idOf = (line: string): string => line.split(' ')[2] as string
 
-test('a stream that breaks is resumed at its offset under the same id, and no token comes twice', async () => {
-  // A technician's connection drops in the middle of an answer. The client asks for the rest at the token
-  // where it is; a fragment never passes as the whole answer.
+test('an interrupted stream is resumed at its offset under the same id, and no token is delivered twice', async () => {
+  // Failure guarded against: the connection breaks in the middle of an answer, and the incomplete answer is returned as
+  // complete, or tokens are repeated. The client requests the rest of the answer from the next token on.
   const node = await serveNode([
     (_request, response) => {
       writeTokens(response, 0, 2)
@@ -91,7 +91,7 @@
   }
 })
 
-test('a booking is sent again under its id after a lost connection, and under a new one only after not-run', async () => {
+test('a non-idempotent call is retried under its id after a lost connection, and under a new id only after not-run', async () => {
   const node = await serveNode([
     (_request, response) => response.destroy(),
     refuse(503, 'stopping', 'not-run'),
@@ -100,10 +100,10 @@
   const client = createClient({ addresses: [node.address], key: 'key', random: createRandom(1) })
   try {
     await assert.rejects(client.call({ class: 'booking', method: 'POST', path: '/bookings', body: '{}' }), (error: ServingError) => error.verdict === 'may-have-run')
-    const [first, again, anew, ...more] = node.seen.map(idOf)
-    assert.equal(first, again)
-    assert.notEqual(again, anew)
-    assert.deepEqual(more, [])
+    const [firstId, secondId, thirdId, ...otherIds] = node.seen.map(idOf)
+    assert.equal(firstId, secondId)
+    assert.notEqual(secondId, thirdId)
+    assert.deepEqual(otherIds, [])
   } finally {
     await client.close()
     node.server.closeAllConnections()
@@ -111,15 +111,15 @@
   }
 })
 
-test('whatever fails, work that may not run twice never gets a second id unless it is proven not to have run', () => {
+test('after any failure, a request that may run only once gets a new id only if it has provably not run', () => {
   const codes: FailureCode[] = ['overloaded', 'stopping', 'moved', 'outcome-unknown', 'connection-lost', 'timeout', 'conflict', 'no-configuration']
   fc.assert(fc.property(
     fc.constantFrom(...codes), fc.constantFrom<Verdict>('not-run', 'may-have-run', 'ran'), fc.boolean(), fc.boolean(), fc.nat(10), fc.nat(4), fc.integer(),
-    (code, verdict, toldBySystem, maybeReceived, brokenConnections, renewals, seed) => {
+    (code, verdict, reportedBySystem, maybeReceived, brokenConnections, idReplacements, seed) => {
       const failure = new ServingError(code, { code, verdict, retryAfter: 100 })
-      const next = decideNextSend({ failure, toldBySystem, maybeReceived, idempotent: false, brokenConnections, renewals }, createRandom(seed))
-      if (next.kind === 'new-id') assert.ok(verdict === 'not-run' && (toldBySystem || !maybeReceived))
-      if (next.kind !== 'fail' && toldBySystem && code === 'overloaded') assert.ok(next.delay >= 100)
+      const decision = decideRetry({ failure, reportedBySystem, maybeReceived, idempotent: false, brokenConnections, idReplacements }, createRandom(seed))
+      if (decision.kind === 'new-id') assert.ok(verdict === 'not-run' && (reportedBySystem || !maybeReceived))
+      if (decision.kind !== 'fail' && reportedBySystem && code === 'overloaded') assert.ok(decision.delay >= 100)
     }
   ), { seed: 1, numRuns: 2_000 })
 })
--- a/test/events/catalogue.test.ts
+++ b/test/events/catalogue.test.ts
@@ -1,4 +1,4 @@
-/** The catalogue of lines against the operators' page and against what a node under load may write. */
+/** The catalogue of log events against the operators' documentation and against the rate limit of log lines. */
 import assert from 'node:assert/strict'
 import { readFileSync } from 'node:fs'
 import { Writable } from 'node:stream'
@@ -9,24 +9,24 @@
 import { createLog } from '../../src/log.js'
 import { createManualClock } from '../../stand-ins/manual-clock.js'
 
-const page = readFileSync(new URL('../../docs/OPERATIONS.md', import.meta.url), 'utf8')
+const documentation = readFileSync(new URL('../../docs/OPERATIONS.md', import.meta.url), 'utf8')
 
 describe('the catalogue of events', () => {
-  it('stands whole in the operators\' page, which names no others', () => {
-    const table = page.slice(page.indexOf('| Event |'), page.indexOf('## Metrics'))
+  it('is listed completely in the operators\' documentation, which lists no other events', () => {
+    const table = documentation.slice(documentation.indexOf('| Event |'), documentation.indexOf('## Metrics'))
     const named = new Set([...table.matchAll(/^\| `([a-z-]+)` \|/gm)].map(([, name]) => name))
     assert.deepEqual([...named].sort(), Object.keys(EVENTS).sort())
   })
 
-  it('says of each event what it means', () => {
+  it('has a description of each event', () => {
     for (const [name, schema] of Object.entries(EVENTS)) assert.ok((schema.description ?? '').length > 10, name)
   })
 })
 
-describe('lines of single requests', () => {
-  // An outage fails every request, and the lines of those that are served push out those that say why the
-  // others failed.
-  it('never push out those of failures', async () => {
+describe('log lines of served requests', () => {
+  // Failure guarded against: the lines of served requests use up the rate limit, and the lines that explain the failed
+  // requests are left out.
+  it('never displace the lines of failures', async () => {
     const clock = createManualClock()
     const seen: string[] = []
     const stream = new Writable({ write: (chunk, _encoding, done) => { seen.push(JSON.parse(String(chunk)).event); done() } })
