--- a/src/operator/api.ts
+++ b/src/operator/api.ts
@@ -1,6 +1,7 @@
 /**
- * The operators' API, behind the operators' bearer key: configuration, status, reports, explanations
- * and what the planner did. Organisations read their own report through the callers' key.
+ * HTTP routes of the operators' API: configuration, status, reports, explanations of requests and the planner's
+ * history. All of them require the operators' bearer key. One further route gives organisations their own report and
+ * requires the organisation's bearer key.
  */
 import type { IncomingMessage } from 'node:http'
 import type restana from 'restana'
@@ -29,41 +30,50 @@
 type Service = ReturnType<typeof restana>
 type Route = (request: ApiRequest) => Promise<unknown>
 
-const DEFAULT_HISTORY = 20
+/** Number of revisions in the history if the request names no limit. */
+const DEFAULT_HISTORY_LIMIT = 20
+
+/** Length of the reported range if the request names no start. */
 const DEFAULT_RANGE: Milliseconds = 24 * HOUR
 
-/** All nodes write their reports at most this often on demand; the key-value service's rate is shared. */
-const FRESH_PAUSE: Milliseconds = 5 * SECOND
+/**
+ * Shortest interval between two on-demand writes of all reports. The writes share the key-value service's request rate
+ * with other work.
+ */
+const REFRESH_INTERVAL: Milliseconds = 5 * SECOND
 
 /**
- * Registers the routes.
+ * Registers the routes of the operators' API, the organisations' report route and the gauges of the node's report.
  *
  * @example
  * registerOperatorApi(service, { ...parts, reports })
  */
 export function registerOperatorApi (service: Service, context: OperatorContext): void {
   registerGauges(context)
-  const refresh = createRefresh(context)
-  const operators = (route: Route) => withErrorResponse(async (request, response) => {
+  const refresh = createReportRefresher(context)
+  const operatorRoute = (route: Route) => withErrorResponse(async (request, response) => {
     authenticateOperator(context, request)
     sendJson(response, 200, await route(request))
   })
-  service.get('/operator/configuration', operators(async () => ({ current: context.configuration.current() })))
-  service.post('/operator/configuration', operators(async (request) => applyConfiguration(context, await parsed(context, request, applyRequestSchema))))
-  service.post('/operator/configuration/rollback', operators(async (request) => rollBackConfiguration(context, await parsed(context, request, rollbackRequestSchema))))
-  service.get('/operator/configuration/history', operators((request) => configurationHistory(context, numberIn(request, 'limit') ?? DEFAULT_HISTORY)))
-  service.get('/operator/status', operators(() => fleetStatus(context)))
-  service.get('/operator/report', operators(async (request) => {
-    const range = rangeIn(request, context.clock.wall())
+  service.get('/operator/configuration', operatorRoute(async () => ({ current: context.configuration.current() })))
+  service.post('/operator/configuration', operatorRoute(async (request) => applyConfiguration(context, await parseBody(context, request, applyRequestSchema))))
+  service.post('/operator/configuration/rollback', operatorRoute(async (request) => rollBackConfiguration(context, await parseBody(context, request, rollbackRequestSchema))))
+  service.get('/operator/configuration/history', operatorRoute((request) => configurationHistory(context, numberParameter(request, 'limit') ?? DEFAULT_HISTORY_LIMIT)))
+  service.get('/operator/status', operatorRoute(() => fleetStatus(context)))
+  service.get('/operator/report', operatorRoute(async (request) => {
+    const range = rangeParameter(request, context.clock.wall())
     if (request.query.fresh === 'true') await refresh()
     return readReport(context, range)
   }))
-  service.get('/operator/requests/:id', operators((request) => explainRequest(context, idIn(request))))
-  service.get('/operator/planner', operators(() => plannerHistory(context)))
+  service.get('/operator/requests/:id', operatorRoute((request) => explainRequest(context, requestIdParameter(request))))
+  service.get('/operator/planner', operatorRoute(() => readPlannerHistory(context)))
   registerOrganisationReport(service, context)
 }
 
-/** What the node's monitoring sees of its report. Strays should stay 0: events for requests that were not open. */
+/**
+ * Registers gauges of the ledger and of report writing. `ledger_strays` counts events for requests that were not open
+ * and should stay 0.
+ */
 function registerGauges ({ metrics, ledger, reports }: OperatorContext): void {
   metrics.gauge('ledger_strays', () => ledger.usage().unmatchedEvents)
   metrics.gauge('ledger_cells', () => ledger.usage().cells)
@@ -71,34 +81,42 @@
   metrics.gauge('report_bytes', () => reports.usage().lastBytes)
 }
 
-/** An organisation reads its own sums and nobody else's; instances are not named to it. */
+/**
+ * Registers the route of an organisation's own report. It contains only that organisation's sums and names no
+ * instances.
+ */
 function registerOrganisationReport (service: Service, context: OperatorContext): void {
-  const read = createOrganisationReader(context)
+  const readOwnReport = createOrganisationReader(context)
   service.get('/v1/report', withErrorResponse(async (request, response) => {
     const organisation = authenticateOrganisation(context, request)
-    sendJson(response, 200, withoutNodes(await read(organisation)))
+    sendJson(response, 200, withoutNodeNames(await readOwnReport(organisation)))
   }))
 }
 
-function withoutNodes (document: ReportDocument): object {
-  const { gaps, overdue, latencyOmitted, targets, ...own } = document
+/** Removes node names from a report. Overdue reports are listed among the gaps. */
+function withoutNodeNames (document: ReportDocument): object {
+  const { gaps, overdue, latencyOmitted, targets, ...ownSums } = document
   return {
-    ...own,
+    ...ownSums,
     gaps: [...gaps, ...overdue].map(({ from, to }) => ({ from, to })),
-    statements: statementsOf({ ...own, gaps, overdue, latencyOmitted }, { namesNodes: false })
+    statements: statementsOf({ ...ownSums, gaps, overdue, latencyOmitted }, { namesNodes: false })
   }
 }
 
-function createRefresh (context: OperatorContext): () => Promise<void> {
-  let last: { at: Milliseconds, done: Promise<unknown> } | undefined
+/**
+ * Creates a function that has all nodes write their reports. Calls within REFRESH_INTERVAL of the last write share its
+ * result.
+ */
+function createReportRefresher (context: OperatorContext): () => Promise<void> {
+  let lastRefresh: { at: Milliseconds, done: Promise<unknown> } | undefined
   return async () => {
     const now = context.clock.now()
-    if (last === undefined || now - last.at >= FRESH_PAUSE) last = { at: now, done: writeAllReports(context) }
-    await last.done
+    if (lastRefresh === undefined || now - lastRefresh.at >= REFRESH_INTERVAL) lastRefresh = { at: now, done: writeAllReports(context) }
+    await lastRefresh.done
   }
 }
 
-async function plannerHistory ({ keyValue, signal }: OperatorContext): Promise<unknown> {
+async function readPlannerHistory ({ keyValue, signal }: OperatorContext): Promise<unknown> {
   const entry = await keyValue.get(HISTORY_KEY, signal)
   return entry === undefined ? { events: [] } : plannerHistorySchema.parse(JSON.parse(entry.value))
 }
@@ -118,40 +136,42 @@
   return organisation
 }
 
-async function parsed<T> ({ settings }: OperatorContext, request: IncomingMessage, schema: z.ZodType<T>): Promise<T> {
+/** @throws ServingError `invalid-request` if the body is not JSON or does not match the schema */
+async function parseBody<T> ({ settings }: OperatorContext, request: IncomingMessage, schema: z.ZodType<T>): Promise<T> {
   const bytes = await readBody(request, settings.limits.body_bytes)
   const result = schema.safeParse(parseJson(bytes))
   if (result.success) return result.data
-  throw invalid(result.error.issues.map(describeIssue).join('; '))
+  throw invalidRequest(result.error.issues.map(describeIssue).join('; '))
 }
 
 function parseJson (bytes: Buffer): unknown {
   try {
     return JSON.parse(bytes.toString('utf8'))
   } catch {
-    throw invalid('the body is not JSON')
+    throw invalidRequest('the body is not JSON')
   }
 }
 
-function rangeIn (request: ApiRequest, now: Milliseconds): ReportRange {
-  const to = numberIn(request, 'to') ?? now
-  return { from: numberIn(request, 'from') ?? to - DEFAULT_RANGE, to }
+function rangeParameter (request: ApiRequest, now: Milliseconds): ReportRange {
+  const to = numberParameter(request, 'to') ?? now
+  return { from: numberParameter(request, 'from') ?? to - DEFAULT_RANGE, to }
 }
 
-function numberIn (request: ApiRequest, name: string): number | undefined {
+/** @throws ServingError `invalid-request` if the query parameter is present but not a non-negative integer */
+function numberParameter (request: ApiRequest, name: string): number | undefined {
   const text = request.query[name]
   if (text === undefined) return undefined
   const number = Number(text)
-  if (typeof text !== 'string' || !Number.isSafeInteger(number) || number < 0) throw invalid(`${name} must be a whole number`)
+  if (typeof text !== 'string' || !Number.isSafeInteger(number) || number < 0) throw invalidRequest(`${name} must be a whole number`)
   return number
 }
 
-function idIn (request: ApiRequest): ReturnType<typeof requestIdSchema.parse> {
+function requestIdParameter (request: ApiRequest): ReturnType<typeof requestIdSchema.parse> {
   const result = requestIdSchema.safeParse(request.params.id)
   if (result.success) return result.data
-  throw invalid('malformed request id: it must be <incarnation>.<16 to 64 random characters>')
+  throw invalidRequest('malformed request id: it must be <incarnation>.<16 to 64 random characters>')
 }
 
-function invalid (message: string): ServingError {
+function invalidRequest (message: string): ServingError {
   return new ServingError(message, { code: 'invalid-request', verdict: 'not-run' })
 }
--- a/src/operator/command/change.ts
+++ b/src/operator/command/change.ts
@@ -1,4 +1,4 @@
-/** `apply`, `rollback`, `show` and `history`: the configuration from the command line. */
+/** Commands `apply`, `rollback`, `show` and `history`, which change and show the configuration. */
 import { stringify } from 'smol-toml'
 import { EXIT } from '../../bin/command-line.js'
 import { timeText } from '../../report/index.js'
@@ -11,44 +11,50 @@
 import { jsonText } from './output.js'
 import type { CommandOutput } from './output.js'
 
-/** Options of commands that change something. */
+/** Options of the commands that change the configuration. */
 export interface ChangeCommandOptions {
+  /** Shows the difference without applying the change. */
   readonly dryRun?: boolean | undefined
+  /** Reason that is stored in the history. Required unless `dryRun` is set. */
   readonly reason?: string | undefined
+  /** Author that is stored in the history. Defaults to `unnamed`. */
   readonly author?: string | undefined
-  /** Change id of an earlier attempt whose outcome was unknown. */
+  /** Change id of an earlier attempt whose outcome is unknown. */
   readonly changeId?: string | undefined
-  /** Revision that the change was made from; the one in force when left out. */
+  /** Revision that the change is based on. Defaults to the latest one in the history. */
   readonly base?: number | undefined
+  /** Prints the answer as JSON. */
   readonly json?: boolean | undefined
 }
 
 /**
- * `hornbeamgap apply FILE`.
+ * `hornbeamgap apply FILE`: applies a configuration document. An unknown outcome is printed and sets the exit code
+ * `EXIT.unknown`.
  *
- * @throws ServingError when the change is certainly not accepted, or `outcome-unknown`
+ * @throws ServingError `invalid-request` for a missing reason or an unreadable file; other codes if the change is certain
+ *   not to have been accepted
  * @example
  * await applyCommand(client, output, 'configuration.toml', { reason: 'slower bookings at noon' })
  */
 export async function applyCommand (client: OperatorClient, output: CommandOutput, path: string, options: ChangeCommandOptions): Promise<void> {
   const document = parseToml(readTextFile(path), path)
-  await change(client, output, '/operator/configuration', { document }, options)
+  await submitChange(client, output, '/operator/configuration', { document }, options)
 }
 
 /**
- * `hornbeamgap rollback REVISION`.
+ * `hornbeamgap rollback REVISION`: applies the document of an earlier revision again.
  *
  * @throws ServingError as {@link applyCommand}
  * @example
  * await rollbackCommand(client, output, 6, { reason: 'too strict' })
  */
 export async function rollbackCommand (client: OperatorClient, output: CommandOutput, to: number, options: ChangeCommandOptions): Promise<void> {
-  if (!Number.isSafeInteger(to) || to < 1) throw invalid('the revision must be a whole number from 1 on')
-  await change(client, output, '/operator/configuration/rollback', { to }, options)
+  if (!Number.isSafeInteger(to) || to < 1) throw invalidRequest('the revision must be a whole number from 1 on')
+  await submitChange(client, output, '/operator/configuration/rollback', { to }, options)
 }
 
 /**
- * `hornbeamgap show`: the document in force, as TOML that can be applied again.
+ * `hornbeamgap show`: prints the document in force as TOML that `apply` accepts.
  *
  * @example
  * await showCommand(client, output, { json: false })
@@ -62,7 +68,7 @@
 }
 
 /**
- * `hornbeamgap history`.
+ * `hornbeamgap history`: prints the revisions with their differences, latest first.
  *
  * @example
  * await historyCommand(client, output, { limit: 20 })
@@ -76,21 +82,24 @@
   }
 }
 
-async function change (client: OperatorClient, output: CommandOutput, path: string, what: object, options: ChangeCommandOptions): Promise<void> {
+/** Sends a change to the operators' API, prints the answer and sets the exit code. */
+async function submitChange (client: OperatorClient, output: CommandOutput, path: string, content: object, options: ChangeCommandOptions): Promise<void> {
   const reason = options.reason ?? (options.dryRun === true ? 'dry run' : undefined)
-  if (reason === undefined) throw invalid('--reason TEXT is required: it is kept in the history')
-  // The base is fixed before the first attempt: only so does a repetition after a lost reply change nothing.
+  if (reason === undefined) throw invalidRequest('--reason TEXT is required: it is kept in the history')
+  // The base is fixed before the first attempt, so that a repetition after a lost reply has no further effect.
   const base = options.base ?? (await client.get('/operator/configuration/history?limit=1', historyAnswerSchema)).revisions[0]?.revision ?? 0
   const changeId = String(options.changeId ?? createChangeId())
-  const body = { ...what, change_id: changeId, author: String(options.author ?? 'unnamed'), reason: String(reason), base, dry_run: options.dryRun === true }
-  const answer = await client.post(path, body, changeAnswerSchema).catch((error: unknown) => unknownOr(error, changeId))
+  const body = { ...content, change_id: changeId, author: String(options.author ?? 'unnamed'), reason: String(reason), base, dry_run: options.dryRun === true }
+  const answer = await client.post(path, body, changeAnswerSchema).catch((error: unknown) => unknownOutcomeOrThrow(error, changeId))
   output.exit(exitCodeOf(answer))
   if (options.json === true) output.out(jsonText(answer))
-  else describe(output, answer, base)
+  else printAnswer(output, answer, base)
 }
 
-/** A failure after which the change may have been accepted is an answer of its own. */
-function unknownOr (error: unknown, changeId: string): ChangeAnswer {
+/**
+ * Converts a failure after which the change may have been accepted into the answer `unknown`. Rethrows other failures.
+ */
+function unknownOutcomeOrThrow (error: unknown, changeId: string): ChangeAnswer {
   if (error instanceof ServingError && error.verdict === 'may-have-run') return { kind: 'unknown', change_id: changeId }
   throw error
 }
@@ -105,18 +114,18 @@
   }
 }
 
-function describe (output: CommandOutput, answer: ChangeAnswer, base: number): void {
+function printAnswer (output: CommandOutput, answer: ChangeAnswer, base: number): void {
   switch (answer.kind) {
     case 'dry-run':
-      describeDifferences(output, answer.difference, `Against revision ${answer.base} this would change:`)
+      printDifference(output, answer.difference, `Against revision ${answer.base} this would change:`)
       return output.out('Nothing was changed.\n')
     case 'unchanged':
       return output.out(`Nothing to change: revision ${answer.revision} says the same.\n`)
     case 'accepted':
-      return describeAccepted(output, answer)
+      return printAccepted(output, answer)
     case 'conflict':
       output.note(`CONFLICT: not accepted. Revision ${answer.revision} by ${answer.author} came first: ${singleLine(answer.reason)}`)
-      describeDifferences(output, answer.difference, 'Your document differs from it in:')
+      printDifference(output, answer.difference, 'Your document differs from it in:')
       return output.note('Look at it with "show", change your document, and apply again.')
     case 'unknown':
       output.note(`UNKNOWN: the change may or may not be accepted. Run the same command again with --change-id ${answer.change_id} --base ${base} to settle it;`)
@@ -124,15 +133,15 @@
   }
 }
 
-function describeAccepted (output: CommandOutput, answer: Extract<ChangeAnswer, { kind: 'accepted' }>): void {
-  describeDifferences(output, answer.difference, `Accepted as revision ${answer.revision}:`)
+function printAccepted (output: CommandOutput, answer: Extract<ChangeAnswer, { kind: 'accepted' }>): void {
+  printDifference(output, answer.difference, `Accepted as revision ${answer.revision}:`)
   if (answer.superseded) output.note('A later revision has already replaced it.')
   if (answer.missing.length === 0) return output.out(`In force at all ${answer.confirmed} nodes.\n`)
   output.out(`In force at ${answer.confirmed} nodes. Not confirmed yet by ${answer.missing.join(', ')}.\n`)
   output.note('These nodes follow it when they are heard again. One that hears nobody takes no new work; a group that is cut off together may serve on with the revision before. "status" shows where they stand.')
 }
 
-function describeDifferences (output: CommandOutput, lines: readonly string[], title: string): void {
+function printDifference (output: CommandOutput, lines: readonly string[], title: string): void {
   output.out(`${title}\n`)
   output.out(lines.length === 0 ? '  (no difference)\n' : lines.map((line) => `  ${line}\n`).join(''))
 }
@@ -141,6 +150,6 @@
   return text.replace(/\s+/g, ' ')
 }
 
-function invalid (message: string): ServingError {
+function invalidRequest (message: string): ServingError {
   return new ServingError(message, { code: 'invalid-request', verdict: 'not-run' })
 }
--- a/src/operator/command/connection.ts
+++ b/src/operator/command/connection.ts
@@ -1,4 +1,4 @@
-/** How the operators' command reaches the system: any entry node that answers will do. */
+/** Client of the operators' API for the commands, with its settings. It tries the configured entry nodes in turn. */
 import { randomUUID } from 'node:crypto'
 import * as z from 'zod'
 import type { Milliseconds } from '../../clock.js'
@@ -10,27 +10,33 @@
 import { loadSettings, parseSettings } from '../../settings.js'
 import { ServingError, toServingError } from '../../verdict.js'
 
-/** Settings of the command, in a TOML file. */
+/** Schema of the command's TOML settings file. */
 export const commandSettingsSchema = z.strictObject({
-  /** Entry nodes; one that answers is enough. */
+  /** Addresses of entry nodes, tried in this order until one answers. */
   addresses: z.array(addressSchema).min(1),
   /** The operators' bearer key. */
   operator_key: z.string().min(1)
 })
 export type CommandSettings = z.infer<typeof commandSettingsSchema>
 
-/** Options that every subcommand has. */
+/** Connection options of every subcommand. */
 export interface ConnectionOptions {
-  /** Addresses, separated by commas. */
+  /** Addresses of entry nodes, separated by commas. */
   readonly address?: string | undefined
+  /** Path of the settings file. */
   readonly settings?: string | undefined
 }
 
-/** The operators' API as the command uses it. */
+/** Client of the operators' API. */
 export interface OperatorClient {
+  /** Sends a GET request and validates the answer. Rejects with a ServingError. */
   get<T> (path: string, schema: z.ZodType<T>): Promise<T>
-  /** The body must carry a change id, so that a repetition after a lost reply changes nothing. */
+  /**
+   * Sends a POST request and validates the answer. Rejects with a ServingError. The body must contain a change id, so that
+   * a repetition after a lost reply has no further effect.
+   */
   post<T> (path: string, body: object, schema: z.ZodType<T>): Promise<T>
+  /** Closes all connections. */
   close (): Promise<void>
 }
 
@@ -43,17 +49,21 @@
 /** Environment variable with the path of the settings file. */
 export const SETTINGS_VARIABLE = 'HORNBEAMGAP_SETTINGS'
 
-/** A change answers after all nodes had their time to confirm it; the node itself gives up before this. */
-const SILENCE: Milliseconds = 30 * SECOND
+/**
+ * Idle timeout of a response. A node answers a change only after waiting for the other nodes' confirmations, and that
+ * wait is shorter than this.
+ */
+const IDLE_TIMEOUT: Milliseconds = 30 * SECOND
 
-const failureSchema = z.object({
+/** Body of an error response. */
+const errorBodySchema = z.object({
   error: z.object({ message: z.string(), type: z.string(), verdict: z.enum(['not-run', 'may-have-run', 'ran']) })
 })
 
 /**
- * Settings from options, the environment and the file, in this order.
+ * Determines the settings. Options take precedence over environment variables, and these over the settings file.
  *
- * @throws ServingError `invalid-request` that says what is missing
+ * @throws ServingError `invalid-request` if an address or the key is missing, or if a setting is invalid
  * @example
  * const settings = resolveSettings({ address: '127.0.0.1:8080' }, process.env)
  */
@@ -62,13 +72,15 @@
   const file = path === undefined ? undefined : loadSettings(commandSettingsSchema, path)
   const addresses = options.address ?? environment[ADDRESS_VARIABLE]
   const key = environment[KEY_VARIABLE] ?? file?.operator_key
-  if (addresses === undefined && file === undefined) throw invalid(`no address: give --address HOST:PORT, ${ADDRESS_VARIABLE} or --settings FILE`)
-  if (key === undefined) throw invalid(`no operators' key: set ${KEY_VARIABLE}, or operator_key in --settings FILE`)
+  if (addresses === undefined && file === undefined) throw invalidRequest(`no address: give --address HOST:PORT, ${ADDRESS_VARIABLE} or --settings FILE`)
+  if (key === undefined) throw invalidRequest(`no operators' key: set ${KEY_VARIABLE}, or operator_key in --settings FILE`)
   if (addresses === undefined) return { addresses: file?.addresses ?? [], operator_key: key }
   return parseSettings(commandSettingsSchema, `addresses = ${JSON.stringify(String(addresses).split(','))}\noperator_key = ${JSON.stringify(key)}`, '--address')
 }
 
 /**
+ * Creates a client of the operators' API.
+ *
  * @example
  * const client = createOperatorClient(settings)
  * const status = await client.get('/operator/status', statusAnswerSchema)
@@ -76,61 +88,75 @@
 export function createOperatorClient (settings: CommandSettings): OperatorClient {
   const connections = createConnections(1)
 
-  async function ask<T> (address: Address, method: 'GET' | 'POST', path: string, body: object | undefined, schema: z.ZodType<T>): Promise<T> {
+  /** Sends a request to one node. */
+  async function requestNode<T> (address: Address, method: 'GET' | 'POST', path: string, body: object | undefined, schema: z.ZodType<T>): Promise<T> {
     const headers = { authorization: `Bearer ${settings.operator_key}` }
-    const response = await send(connections, { address, method, path, headers, idleTimeout: SILENCE, ...(body === undefined ? {} : { body }) })
+    const response = await send(connections, { address, method, path, headers, idleTimeout: IDLE_TIMEOUT, ...(body === undefined ? {} : { body }) })
     const text = await readBody(response, address)
-    if (response.statusCode >= 400) throw failureOf(address, response.statusCode, text)
+    if (response.statusCode >= 400) throw errorFromResponse(address, response.statusCode, text)
     const parsed = schema.safeParse(parseJson(text))
     if (parsed.success) return parsed.data
     throw new ServingError(`${address} answers in a form that this command does not know; their versions differ`, { code: 'internal', verdict: 'ran' })
   }
 
-  /** Another node is asked when one cannot be reached or is not ready; a clear answer is final. */
-  async function askAny<T> (method: 'GET' | 'POST', path: string, body: object | undefined, schema: z.ZodType<T>): Promise<T> {
+  /**
+   * Tries the nodes in turn. The next node is tried only if one cannot be reached or is not ready. Other errors are
+   * final.
+   */
+  async function requestAnyNode<T> (method: 'GET' | 'POST', path: string, body: object | undefined, schema: z.ZodType<T>): Promise<T> {
     const failures: ServingError[] = []
     for (const address of settings.addresses) {
       try {
-        return await ask(address, method, path, body, schema)
+        return await requestNode(address, method, path, body, schema)
       } catch (error) {
         const failure = toServingError(error, 'may-have-run')
-        if (!worthAnother(failure)) throw failure
+        if (!isRetryableElsewhere(failure)) throw failure
         failures.push(failure)
       }
     }
-    throw noneAnswered(method, failures)
+    throw allNodesFailed(method, failures)
   }
 
   return {
-    get: (path, schema) => askAny('GET', path, undefined, schema),
-    post: (path, body, schema) => askAny('POST', path, body, schema),
+    get: (path, schema) => requestAnyNode('GET', path, undefined, schema),
+    post: (path, body, schema) => requestAnyNode('POST', path, body, schema),
     close: () => connections.destroy()
   }
 }
 
-/** @example const changeId = createChangeId() */
+/**
+ * Creates a random change id.
+ *
+ * @example
+ * const changeId = createChangeId()
+ */
 export function createChangeId (): string {
   return randomUUID()
 }
 
-function worthAnother (failure: ServingError): boolean {
+/** Returns whether another node may succeed after this failure. */
+function isRetryableElsewhere (failure: ServingError): boolean {
   return ['connection-lost', 'timeout', 'no-configuration', 'stopping', 'platform-unavailable'].includes(failure.code)
 }
 
-/** One attempt of a change that may have taken effect makes the whole outcome unknown. */
-function noneAnswered (method: 'GET' | 'POST', failures: readonly ServingError[]): ServingError {
+/**
+ * Creates the error for the case that all nodes failed. The outcome of a change is unknown if any attempt may have
+ * taken effect.
+ */
+function allNodesFailed (method: 'GET' | 'POST', failures: readonly ServingError[]): ServingError {
   const verdict = method === 'GET' || failures.every((failure) => failure.verdict === 'not-run') ? 'not-run' : 'may-have-run'
   const message = `no entry node answered: ${failures.map((failure) => failure.message).join('; ')}`
   return new ServingError(message, { code: verdict === 'not-run' ? 'platform-unavailable' : 'outcome-unknown', verdict })
 }
 
-function failureOf (address: Address, status: number, text: string): ServingError {
-  const parsed = failureSchema.safeParse(parseJson(text))
+/** Creates the error that an error response describes. */
+function errorFromResponse (address: Address, status: number, text: string): ServingError {
+  const parsed = errorBodySchema.safeParse(parseJson(text))
   if (!parsed.success) return new ServingError(`${address}: status ${status}: ${text.slice(0, 200)}`, { code: 'internal', verdict: 'may-have-run' })
   const { message, type, verdict } = parsed.data.error
   return new ServingError(message, { code: type as ServingError['code'], verdict })
 }
 
-function invalid (message: string): ServingError {
+function invalidRequest (message: string): ServingError {
   return new ServingError(message, { code: 'invalid-request', verdict: 'not-run' })
 }
--- a/src/operator/command/logs.ts
+++ b/src/operator/command/logs.ts
@@ -1,4 +1,4 @@
-/** `explain ID FILE...` and `day FILE...`: what the lines of nodes tell afterwards. */
+/** Commands `explain ID FILE...` and `day FILE...`, which evaluate the nodes' log files. */
 import { readFileSync } from 'node:fs'
 import type { Milliseconds } from '../../clock.js'
 import { SECOND } from '../../clock.js'
@@ -7,68 +7,71 @@
 import { countText } from '../../report/index.js'
 import { ServingError } from '../../verdict.js'
 import { dayPage } from './day-page.js'
-import { alignColumns, invalidUse, jsonText, writeTextFile } from './output.js'
+import { alignColumns, usageError, jsonText, writeTextFile } from './output.js'
 import type { CommandOutput } from './output.js'
 
-/** Options of the day command. */
+/** Options of the `day` command. */
 export interface DayCommandOptions {
+  /** Prints the summary as JSON. */
   readonly json?: boolean | undefined
-  /** File that the page is written to. */
+  /** Path of the HTML page to write. */
   readonly html?: string | undefined
-  /** Seconds in a part. */
+  /** Length of a time interval, in seconds. */
   readonly step?: number | undefined
 }
 
-/** Name that stands for standard input. */
+/** File name that denotes standard input. */
 const STANDARD_INPUT = '-'
 
-/** Descriptor of standard input. */
-const INPUT_DESCRIPTOR = 0
+/** File descriptor of standard input. */
+const STANDARD_INPUT_DESCRIPTOR = 0
 
-/** Seconds in a part of a day; nodes write their sums this often. */
-const DAY_STEP = 2
+/** Default length of a time interval, in seconds. Nodes log their sums at the same interval. */
+const DEFAULT_STEP_SECONDS = 2
 
 /**
- * Reads lines of nodes from files.
+ * Reads the nodes' log lines from files. Lines that are not log lines of a node are skipped.
  *
- * @param files paths; `-` is standard input
- * @throws ServingError `invalid-request` for a file that can't be read
+ * @param files paths, where `-` denotes standard input
+ * @throws ServingError `invalid-request` for a file that cannot be read
  * @example
  * readLogs(['node-1.log', '-']).length
  */
 export function readLogs (files: readonly string[]): LoggedLine[] {
-  return files.flatMap((file) => readText(file).split('\n').map(readLine).filter((line) => line !== undefined))
+  return files.flatMap((file) => readInput(file).split('\n').map(readLine).filter((line) => line !== undefined))
 }
 
 /**
- * `hornbeamgap explain ID FILE...`: the life of a request, with the decision that ended it marked.
+ * `hornbeamgap explain ID FILE...`: prints the events of a request with the related state changes that its nodes
+ * saw, and marks the decision that led to its end.
  *
- * @throws ServingError `not-found` when no line names it
+ * @throws ServingError `not-found` if no line contains the request id
  * @example
  * explainFromLogs(readLogs(['node-1.log']), output, '05a10e9343c8f54a', {})
  */
 export function explainFromLogs (lines: readonly LoggedLine[], output: CommandOutput, id: string, options: { readonly json?: boolean | undefined }): void {
   const story = reconstructTimeline(lines, id)
-  if (story === undefined) throw new ServingError(`no line of ${countText(lines.length)} names request "${id}"; ${leftOutText(lines)}`, { code: 'not-found', verdict: 'not-run' })
+  if (story === undefined) throw new ServingError(`no line of ${countText(lines.length)} names request "${id}"; ${omittedLinesText(lines)}`, { code: 'not-found', verdict: 'not-run' })
   if (options.json === true) return output.out(jsonText(story))
   output.out(`${id}: ${endText(story.end)}\n`)
   if (story.cause !== undefined) output.out(`${story.cause}\n`)
   const start = story.entries.find(({ about }) => about === 'request')?.line.time ?? 0
   output.out('\n' + alignColumns(['', 'time', 'after', 'node', 'event', 'facts'], story.entries.map((entry) => storyRow(entry, id, start))))
   output.out('\n-> marks the decision that the end follows from, · what the node believed.\n')
-  for (const text of missingText(story)) output.note(text)
+  for (const text of gapTexts(story)) output.note(text)
 }
 
 /**
- * `hornbeamgap day FILE...`: requests over time by what became of them.
+ * `hornbeamgap day FILE...`: shows the requests over time by outcome.
  *
- * @throws ServingError `not-found` when no line has sums, `invalid-request` for a file that can't be written
+ * @throws ServingError `not-found` if no line contains sums; `invalid-request` for an invalid interval or a file that cannot
+ *   be written
  * @example
  * dayFromLogs(readLogs(['node-1.log']), output, { html: 'day.html' })
  */
 export function dayFromLogs (lines: readonly LoggedLine[], output: CommandOutput, options: DayCommandOptions): void {
-  const step = Number(options.step ?? DAY_STEP) * SECOND
-  if (!(step > 0)) throw invalidUse(`--step ${options.step}: must be a number of seconds above 0`)
+  const step = Number(options.step ?? DEFAULT_STEP_SECONDS) * SECOND
+  if (!(step > 0)) throw usageError(`--step ${options.step}: must be a number of seconds above 0`)
   const day = summarizeDay(lines, step)
   if (day === undefined) throw new ServingError(`no line of ${countText(lines.length)} has sums of requests`, { code: 'not-found', verdict: 'not-run' })
   if (options.html !== undefined) {
@@ -90,30 +93,34 @@
   }
 }
 
+/** Returns the table row of one event. */
 function storyRow ({ line, about, decisive }: TimelineEntry, id: string, start: Milliseconds): string[] {
   const facts = Object.entries(line.facts).filter(([, value]) => value !== id).map(([name, value]) => `${name}=${value}`).join(' ')
   return [decisive ? '->' : about === 'belief' ? '·' : '', clockText(line.time), `${line.time - start} ms`, line.process, line.event, facts]
 }
 
-function missingText (story: RequestTimeline): string[] {
+/** Returns notes on log lines that are missing from the history of a request. */
+function gapTexts (story: RequestTimeline): string[] {
   const texts = story.gaps.map((gap) => `${gap.process} left out ${countText(gap.count)} lines of ${gap.event} until ${clockText(gap.at)}; some may be of this request.`)
   if (story.end.kind === 'not-told') texts.push('No line tells its end: it was left out, the request was still open, or its process ended and the logs end with it.')
   return texts
 }
 
-function leftOutText (lines: readonly LoggedLine[]): string {
+/** Returns how many lines the nodes omitted to bound the log volume. */
+function omittedLinesText (lines: readonly LoggedLine[]): string {
   const counts = lines.filter(({ event }) => event === 'lines-left-out').flatMap(({ facts }) => Object.values(facts)).filter((count) => typeof count === 'number')
   return counts.length === 0 ? 'nothing was left out' : `${countText(counts.reduce((sum, count) => sum + count, 0))} lines were left out to bound the volume`
 }
 
+/** Formats the UTC time of day with milliseconds. */
 function clockText (time: Milliseconds): string {
   return new Date(time).toISOString().slice(11, 23)
 }
 
-function readText (file: string): string {
+function readInput (file: string): string {
   try {
-    return readFileSync(file === STANDARD_INPUT ? INPUT_DESCRIPTOR : file, 'utf8')
+    return readFileSync(file === STANDARD_INPUT ? STANDARD_INPUT_DESCRIPTOR : file, 'utf8')
   } catch (cause) {
-    throw invalidUse(`${file}: cannot be read: ${(cause as Error).message}`)
+    throw usageError(`${file}: cannot be read: ${(cause as Error).message}`)
   }
 }
--- a/src/operator/command/look.ts
+++ b/src/operator/command/look.ts
@@ -1,4 +1,4 @@
-/** `status`, `explain` and `planner`: what the system does and did. */
+/** Commands `status`, `explain` and `planner`, which only read from the operators' API. */
 import { describeEvent } from '../../capacity/index.js'
 import { requestIdSchema } from '../../identifiers.js'
 import { countText, durationText, timeText } from '../../report/index.js'
@@ -9,12 +9,14 @@
 import { alignColumns, jsonText } from './output.js'
 import type { CommandOutput } from './output.js'
 
+/** Options of the commands in this module. */
 interface JsonOption {
+  /** Prints the answer as JSON. */
   readonly json?: boolean | undefined
 }
 
 /**
- * `hornbeamgap status`: what is in force at each node.
+ * `hornbeamgap status`: prints the state of each node, including the configuration revision in force there.
  *
  * @example
  * await statusCommand(client, output, {})
@@ -22,16 +24,16 @@
 export async function statusCommand (client: OperatorClient, output: CommandOutput, options: JsonOption): Promise<void> {
   const answer = await client.get('/operator/status', statusAnswerSchema)
   if (options.json === true) return output.out(jsonText(answer))
-  const behind = answer.nodes.filter((node) => node.revision !== answer.revision)
-  output.out(`Revision ${answer.revision} is in force at ${answer.nodes.length - behind.length} of ${answer.nodes.length} nodes.\n\n`)
-  const heads = ['instance', 'failure domain', 'address', 'revision', 'state', 'open requests', 'last report']
-  output.out(alignColumns(heads, answer.nodes.map(statusRow)))
+  const outdated = answer.nodes.filter((node) => node.revision !== answer.revision)
+  output.out(`Revision ${answer.revision} is in force at ${answer.nodes.length - outdated.length} of ${answer.nodes.length} nodes.\n\n`)
+  const headings = ['instance', 'failure domain', 'address', 'revision', 'state', 'open requests', 'last report']
+  output.out(alignColumns(headings, answer.nodes.map(statusRow)))
 }
 
 /**
- * `hornbeamgap explain ID`: what happened to one request, and why.
+ * `hornbeamgap explain ID`: prints the facts that the nodes remember about one request.
  *
- * @throws ServingError `not-found` when nobody remembers it
+ * @throws ServingError `invalid-request` for a malformed id; `not-found` if no node remembers the request
  * @example
  * await explainCommand(client, output, id, {})
  */
@@ -49,7 +51,7 @@
 }
 
 /**
- * `hornbeamgap planner`: what the planner did and why.
+ * `hornbeamgap planner`: prints the planner's actions with their reasons.
  *
  * @example
  * await plannerCommand(client, output, {})
--- a/src/operator/command/markup.ts
+++ b/src/operator/command/markup.ts
@@ -1,17 +1,17 @@
-/** Pieces of markup: texts are always escaped, what is markup already is marked as such. */
+/** Template tag for HTML and SVG. Plain values are escaped, and values of type Markup are inserted unchanged. */
 
-/** Markup that needs no escaping. */
+/** Text that is already valid markup and is inserted without escaping. */
 export interface Markup {
   readonly markup: string
 }
 
-/** What may stand in a template. */
+/** Values that can be inserted into a template. */
 export type MarkupValue = string | number | Markup | readonly Markup[]
 
 const ESCAPES: Readonly<Record<string, string>> = { '&': '&amp;', '<': '&lt;', '>': '&gt;', '"': '&quot;', '\'': '&#39;' }
 
 /**
- * Template tag for markup; plain values are escaped.
+ * Renders a template. Strings are escaped, and arrays are concatenated.
  *
  * @example
  * html`<td>${name}</td>`.markup
--- a/src/operator/command/output.ts
+++ b/src/operator/command/output.ts
@@ -1,33 +1,39 @@
-/** What the command writes: JSON for programs, aligned text for people. */
+/** Output of the commands: result, notes and exit code, as well as formatting as JSON or aligned text. */
 import { writeFileSync } from 'node:fs'
 import { ServingError } from '../../verdict.js'
 
-/** Where a command writes to and what it ends with. */
+/** Destination of a command's output. */
 export interface CommandOutput {
+  /** Writes a part of the result. */
   out (text: string): void
-  /** Remarks that are no part of the result. */
+  /** Writes a note that is not part of the result, such as a warning. */
   note (text: string): void
+  /** Sets the exit code of the command. */
   exit (code: number): void
 }
 
-const GAP = '  '
-const NUMBER = /^-?[\d,.]+( ?%| ms| s| min)?$/
+const COLUMN_GAP = '  '
+
+/** Matches numbers with an optional unit. Columns that contain one are aligned to the right. */
+const NUMBER_PATTERN = /^-?[\d,.]+( ?%| ms| s| min)?$/
 
 /**
- * Lays rows out in columns; columns of figures are aligned to the right.
+ * Formats rows as a text table. Columns that contain numbers are aligned to the right.
  *
  * @example
  * output.out(alignColumns(['class', 'served'], [['booking', '12']]))
  */
-export function alignColumns (heads: readonly string[], rows: readonly (readonly string[])[]): string {
-  const all = [heads, ...rows]
-  const widths = heads.map((_, column) => Math.max(...all.map((row) => row[column]?.length ?? 0)))
-  const right = heads.map((_, column) => rows.some((row) => NUMBER.test(row[column] ?? '')))
-  const lines = all.map((row) => row.map((cell, column) => align(cell, widths[column] ?? 0, right[column] ?? false)).join(GAP).trimEnd())
+export function alignColumns (headings: readonly string[], rows: readonly (readonly string[])[]): string {
+  const allRows = [headings, ...rows]
+  const widths = headings.map((_, column) => Math.max(...allRows.map((row) => row[column]?.length ?? 0)))
+  const alignedRight = headings.map((_, column) => rows.some((row) => NUMBER_PATTERN.test(row[column] ?? '')))
+  const lines = allRows.map((row) => row.map((cell, column) => align(cell, widths[column] ?? 0, alignedRight[column] ?? false)).join(COLUMN_GAP).trimEnd())
   return lines.join('\n') + '\n'
 }
 
 /**
+ * Formats a value as indented JSON with a final line break.
+ *
  * @example
  * output.out(jsonText({ revision: 3 }))
  */
@@ -35,7 +41,13 @@
   return JSON.stringify(value, null, 2) + '\n'
 }
 
-/** @example const output = createProcessOutput() */
+/**
+ * Creates an output that writes the result to standard output and notes to standard error, and sets the exit code of the
+ * process.
+ *
+ * @example
+ * const output = createProcessOutput()
+ */
 export function createProcessOutput (): CommandOutput {
   return {
     out: (text) => { process.stdout.write(text) },
@@ -45,9 +57,9 @@
 }
 
 /**
- * Writes a file that the command was asked for.
+ * Writes an output file.
  *
- * @throws ServingError `invalid-request` when it can't be written
+ * @throws ServingError `invalid-request` if the file cannot be written
  * @example
  * writeTextFile('report.html', page)
  */
@@ -55,17 +67,17 @@
   try {
     writeFileSync(path, text)
   } catch (cause) {
-    throw invalidUse(`${path}: cannot be written: ${(cause as Error).message}`)
+    throw usageError(`${path}: cannot be written: ${(cause as Error).message}`)
   }
 }
 
 /**
- * A wrong use of a command.
+ * Creates an error for invalid options or arguments of a command.
  *
  * @example
  * throw invalidUse('--from and --since exclude each other')
  */
-export function invalidUse (message: string): ServingError {
+export function usageError (message: string): ServingError {
   return new ServingError(message, { code: 'invalid-request', verdict: 'not-run' })
 }
 
--- a/src/operator/command/report-page.ts
+++ b/src/operator/command/report-page.ts
@@ -1,4 +1,4 @@
-/** A report as one self-contained page for managers: sentences first, then plots, then the figures. */
+/** Renders a report as a self-contained HTML page for managers: statements first, then plots, then all figures. */
 import { countText, durationText, moneyText, percentText, timeText } from '../../report/index.js'
 import type { LatencySummary, ReportDocument, ReportLine } from '../../report/index.js'
 import { html } from './markup.js'
@@ -6,11 +6,13 @@
 import { hourPlot, latencyBar, outcomeBar, OUTCOMES, OUTCOME_TEXT } from './plots.js'
 import { STYLE } from './report-style.js'
 
-/** Words in a statement that mark it as one to act on. */
-const ALARMS = ['MISSED', 'GAP', 'DO NOT AGREE', 'overdue', 'nobody can tell', 'not answered']
+/** Phrases that identify statements which need attention. The page highlights such statements. */
+const ALARM_PHRASES = ['MISSED', 'GAP', 'DO NOT AGREE', 'overdue', 'nobody can tell', 'not answered']
 
 /**
- * @returns a whole HTML document without references to anything outside of it
+ * Renders the page.
+ *
+ * @returns a complete HTML document without external references
  * @example
  * writeFileSync('report.html', reportPage(document))
  */
@@ -29,10 +31,10 @@
 <h1>${document.deployment}: who got what</h1>
 <p>${range}. Made ${timeText(document.madeAt)} by hornbeamgap.</p>
 </header>
-${figures(document)}
+${summaryCards(document)}
 <section>
 <h2>In words</h2>
-<ul class="statements">${document.statements.map(statement)}</ul>
+<ul class="statements">${document.statements.map(statementItem)}</ul>
 </section>
 <section>
 <h2>By class of work</h2>
@@ -53,7 +55,7 @@
 `.markup
 }
 
-function figures (document: ReportDocument): Markup {
+function summaryCards (document: ReportDocument): Markup {
   const { total } = document
   const { sums } = total
   const cards: Markup[] = [
@@ -73,8 +75,8 @@
   return html`<div class="card"><span>${title}</span><strong class="${alarming ? 'bad' : ''}">${value}</strong><small>${remark}</small></div>`
 }
 
-function statement (text: string): Markup {
-  const alarming = ALARMS.some((word) => text.includes(word))
+function statementItem (text: string): Markup {
+  const alarming = ALARM_PHRASES.some((word) => text.includes(word))
   return html`<li class="${alarming ? 'alarm' : ''}">${text}</li>`
 }
 
@@ -83,7 +85,7 @@
 }
 
 function classSection (document: ReportDocument, line: ReportLine): Markup {
-  const parts = document.lines.filter((part) => part.class === line.class)
+  const organisationLines = document.lines.filter((part) => part.class === line.class)
   return html`<article>
 <h3>${line.class ?? ''}</h3>
 <p>${classSummary(line)}</p>
@@ -95,7 +97,7 @@
 <h4>By hour</h4>
 ${hourPlot(document, line.class ?? '')}
 <h4>By organisation</h4>
-<table class="bars"><tbody>${parts.map(organisationBar)}</tbody></table>
+<table class="bars"><tbody>${organisationLines.map(organisationBar)}</tbody></table>
 </article>`
 }
 
@@ -132,9 +134,9 @@
 }
 
 function figureTable (document: ReportDocument): Markup {
-  const heads = ['class', 'organisation', 'asked', ...OUTCOMES.map((name) => OUTCOME_TEXT[name]), 'first token', 'between tokens', 'whole answer', 'tokens', 'recomputed', 'cost']
+  const headings = ['class', 'organisation', 'asked', ...OUTCOMES.map((name) => OUTCOME_TEXT[name]), 'first token', 'between tokens', 'whole answer', 'tokens', 'recomputed', 'cost']
   const rows = [...document.lines, ...document.classes, document.total].map((line) => figureRow(line))
-  return html`<div class="scroll"><table class="figures"><thead><tr>${heads.map((head) => html`<th scope="col">${head}</th>`)}</tr></thead><tbody>${rows}</tbody></table></div>`
+  return html`<div class="scroll"><table class="figures"><thead><tr>${headings.map((head) => html`<th scope="col">${head}</th>`)}</tr></thead><tbody>${rows}</tbody></table></div>`
 }
 
 function figureRow (line: ReportLine): Markup {
@@ -146,6 +148,6 @@
     countText(line.recomputedTokens),
     line.cost === undefined ? '-' : moneyText(line.cost)
   ]
-  const whole = line.organisation === undefined
-  return html`<tr class="${whole ? 'sum' : ''}"><th scope="row">${line.class ?? 'all'}</th><td class="name">${line.organisation ?? 'all'}</td>${cells.map((cell) => html`<td>${cell}</td>`)}</tr>`
+  const isSum = line.organisation === undefined
+  return html`<tr class="${isSum ? 'sum' : ''}"><th scope="row">${line.class ?? 'all'}</th><td class="name">${line.organisation ?? 'all'}</td>${cells.map((cell) => html`<td>${cell}</td>`)}</tr>`
 }
--- a/src/operator/command/report-style.ts
+++ b/src/operator/command/report-style.ts
@@ -1,4 +1,4 @@
-/** Style sheet of the report's page. */
+/** Style sheet of the report's page and the day page. */
 export const STYLE = `
 :root { color-scheme: light; --served: #2f7d5b; --late: #d9a021; --refused: #8a94a6; --lost: #c0392b; --unknown: #7d3c98; --open: #5aa9e6; }
 body { font: 15px/1.5 system-ui, sans-serif; color: #1f2933; margin: 0 auto; max-width: 1040px; padding: 24px; }
--- a/src/operator/command/report.ts
+++ b/src/operator/command/report.ts
@@ -1,41 +1,45 @@
-/** `report`: who got what, as a table, JSON, CSV or a page for managers. */
+/** Command `report`, which shows the requests, latencies and cost of a range as a table, JSON, CSV or an HTML page. */
 import type { Milliseconds } from '../../clock.js'
 import { HOUR, MINUTE } from '../../clock.js'
 import { reportDocumentSchema } from '../../report/index.js'
 import type { OperatorClient } from './connection.js'
-import { invalidUse, jsonText, writeTextFile } from './output.js'
+import { usageError, jsonText, writeTextFile } from './output.js'
 import type { CommandOutput } from './output.js'
 import { reportPage } from './report-page.js'
 import { reportCsv, reportTable } from './report-table.js'
 
-/** Options of the report command. */
+/** Options of the `report` command. */
 export interface ReportCommandOptions {
-  /** A duration before now, such as `2h` or `3d`. */
+  /** Start of the range as a duration before its end, such as `2h` or `3d`. */
   readonly since?: string | undefined
-  /** ISO 8601 times. */
+  /** Start of the range as an ISO 8601 time. Excludes `since`. */
   readonly from?: string | undefined
+  /** End of the range as an ISO 8601 time. Defaults to now. */
   readonly to?: string | undefined
-  /** Have every node write its report first. */
+  /** Makes every node write its report first. */
   readonly fresh?: boolean | undefined
+  /** Prints the report as JSON. */
   readonly json?: boolean | undefined
+  /** Prints the report as CSV. Ignored if `json` is set. */
   readonly csv?: boolean | undefined
-  /** File that the page is written to. */
+  /** Path of the HTML page to write. */
   readonly html?: string | undefined
 }
 
-const DURATION = /^(\d{1,4})(m|h|d)$/
-const UNITS: Readonly<Record<string, Milliseconds>> = { m: MINUTE, h: HOUR, d: 24 * HOUR }
+/** Duration in minutes, hours or days. */
+const DURATION_PATTERN = /^(\d{1,4})(m|h|d)$/
+const DURATION_UNITS: Readonly<Record<string, Milliseconds>> = { m: MINUTE, h: HOUR, d: 24 * HOUR }
 
 /**
- * `hornbeamgap report`.
+ * `hornbeamgap report`: prints a report or writes it as an HTML page.
  *
  * @param now wall time
- * @throws ServingError `invalid-request` for a wrong range or a file that cannot be written
+ * @throws ServingError `invalid-request` for an invalid range or a file that cannot be written
  * @example
  * await reportCommand(client, output, { since: '2h', html: 'report.html' }, clock.wall())
  */
 export async function reportCommand (client: OperatorClient, output: CommandOutput, options: ReportCommandOptions, now: Milliseconds): Promise<void> {
-  const { from, to } = rangeOf(options, now)
+  const { from, to } = resolveRange(options, now)
   const fresh = options.fresh === true ? '&fresh=true' : ''
   const document = await client.get(`/operator/report?from=${from}&to=${to}${fresh}`, reportDocumentSchema)
   if (options.html !== undefined) {
@@ -48,28 +52,29 @@
 }
 
 /**
- * Range that the options ask for; the last 24 hours when they name none.
+ * Determines the range from the options. Defaults to the last 24 hours.
  *
- * @throws ServingError `invalid-request`
+ * @param now wall time
+ * @throws ServingError `invalid-request` for an invalid time or duration, or if both `from` and `since` are set
  * @example
  * rangeOf({ since: '2h' }, now)
  */
-export function rangeOf (options: ReportCommandOptions, now: Milliseconds): { from: Milliseconds, to: Milliseconds } {
-  const to = options.to === undefined ? now : timeOf('--to', options.to)
-  if (options.from !== undefined && options.since !== undefined) throw invalidUse('--from and --since exclude each other')
-  if (options.from !== undefined) return { from: timeOf('--from', options.from), to }
-  return { from: Math.max(0, to - durationOf(options.since ?? '1d')), to }
+export function resolveRange (options: ReportCommandOptions, now: Milliseconds): { from: Milliseconds, to: Milliseconds } {
+  const to = options.to === undefined ? now : parseTime('--to', options.to)
+  if (options.from !== undefined && options.since !== undefined) throw usageError('--from and --since exclude each other')
+  if (options.from !== undefined) return { from: parseTime('--from', options.from), to }
+  return { from: Math.max(0, to - parseDuration(options.since ?? '1d')), to }
 }
 
-function durationOf (text: string): Milliseconds {
-  const match = DURATION.exec(String(text))
-  const unit = UNITS[match?.[2] ?? '']
-  if (match === null || unit === undefined) throw invalidUse(`--since ${text}: must be a number with m, h or d, such as 2h`)
+function parseDuration (text: string): Milliseconds {
+  const match = DURATION_PATTERN.exec(String(text))
+  const unit = DURATION_UNITS[match?.[2] ?? '']
+  if (match === null || unit === undefined) throw usageError(`--since ${text}: must be a number with m, h or d, such as 2h`)
   return Number(match[1]) * unit
 }
 
-function timeOf (option: string, text: string): Milliseconds {
+function parseTime (option: string, text: string): Milliseconds {
   const time = Date.parse(String(text))
-  if (Number.isNaN(time)) throw invalidUse(`${option} ${text}: must be an ISO 8601 time, such as 2026-12-02T09:00Z`)
+  if (Number.isNaN(time)) throw usageError(`${option} ${text}: must be an ISO 8601 time, such as 2026-12-02T09:00Z`)
   return time
 }
--- a/src/operator/configuration.ts
+++ b/src/operator/configuration.ts
@@ -1,4 +1,4 @@
-/** Operators' changes of configuration: dry run, acceptance, and how far it has come. */
+/** Operators' changes of the configuration: dry run, acceptance, delivery to the nodes, rollback and history. */
 import { randomUUID } from 'node:crypto'
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
@@ -8,68 +8,71 @@
 import type { ChangeOutcome, DocumentChange } from '../entry/configuration-change.js'
 import { ServingError } from '../verdict.js'
 import type { OperatorContext } from './context.js'
-import { knownNodes } from './known-nodes.js'
+import { listKnownNodes } from './known-nodes.js'
 import type { ApplyRequest, ChangeAnswer, HistoryAnswer, RollbackRequest } from './messages.js'
 
+/** Parts of the operator context that changes need. */
 type ChangeContext = Pick<OperatorContext, 'keyValue' | 'configuration' | 'membership' | 'clock' | 'signal'>
-type Answered<T> = T extends { dry_run?: boolean | undefined } ? T : never
 
-/** Time in which a change must be in force everywhere; who has not confirmed by then is named. */
-const IN_FORCE_BOUND: Milliseconds = 9 * SECOND
+/** Resolves to the type itself if it has an optional `dry_run` field, otherwise to never. */
+type DryRunnable<T> = T extends { dry_run?: boolean | undefined } ? T : never
+
+/** Time within which every node must confirm a change. The answer names the nodes that have not confirmed by then. */
+const CONFIRMATION_TIMEOUT: Milliseconds = 9 * SECOND
 
 /**
- * Puts a document in force, or tells what it would change.
+ * Applies a configuration document, or only returns its difference from the current revision in a dry run.
  *
- * @throws ServingError `invalid-request` for a wrong document; `platform-unavailable` when it is
- *   certain that nothing was accepted
+ * @throws ServingError `invalid-request` for an invalid document; `platform-unavailable` if the change is certain not
+ *   to have been accepted
  * @example
  * const answer = await applyConfiguration(context, { document, change_id, author, reason })
  */
-export async function applyConfiguration (context: ChangeContext, request: Answered<ApplyRequest>): Promise<ChangeAnswer> {
+export async function applyConfiguration (context: ChangeContext, request: DryRunnable<ApplyRequest>): Promise<ChangeAnswer> {
   const { keyValue, clock, signal } = context
   const configuration = checkConfiguration(request.document)
-  const before = await latest(context)
-  const changes = difference(before?.configuration, configuration)
-  if (request.dry_run === true) return { kind: 'dry-run', base: before?.revision ?? 0, difference: changes.map(describeDifference) }
+  const previous = await readLatestRevision(context)
+  const changes = difference(previous?.configuration, configuration)
+  if (request.dry_run === true) return { kind: 'dry-run', base: previous?.revision ?? 0, difference: changes.map(describeDifference) }
   const change: DocumentChange = {
     document: request.document,
     changeId: request.change_id,
     author: request.author,
     reason: request.reason,
-    base: request.base ?? before?.revision ?? 0
+    base: request.base ?? previous?.revision ?? 0
   }
-  return answerOf(context, change.changeId, changes, await applyDocument({ store: keyValue, clock, signal }, change))
+  return answerForOutcome(context, change.changeId, changes, await applyDocument({ store: keyValue, clock, signal }, change))
 }
 
 /**
- * Puts an earlier revision's document in force again, as a new revision.
+ * Applies the document of an earlier revision again, as a new revision.
  *
- * @throws ServingError `not-found` when the history does not hold it
+ * @throws ServingError `not-found` if the history does not contain the revision
  * @example
  * const answer = await rollBackConfiguration(context, { to: 6, change_id, author, reason })
  */
 export async function rollBackConfiguration (context: ChangeContext, request: RollbackRequest): Promise<ChangeAnswer> {
   const { keyValue, clock, signal } = context
   const revisions = await readHistory(keyValue, Number.MAX_SAFE_INTEGER, signal)
-  const [before] = revisions
-  const earlier = revisions.find((revision) => revision.revision === request.to)
-  if (earlier === undefined) throw new ServingError(`revision ${request.to} is not in the history`, { code: 'not-found', verdict: 'not-run' })
-  const changes = difference(before?.configuration, earlier.configuration)
-  if (request.dry_run === true) return { kind: 'dry-run', base: before?.revision ?? 0, difference: changes.map(describeDifference) }
+  const [previous] = revisions
+  const target = revisions.find((revision) => revision.revision === request.to)
+  if (target === undefined) throw new ServingError(`revision ${request.to} is not in the history`, { code: 'not-found', verdict: 'not-run' })
+  const changes = difference(previous?.configuration, target.configuration)
+  if (request.dry_run === true) return { kind: 'dry-run', base: previous?.revision ?? 0, difference: changes.map(describeDifference) }
   const change = {
     to: request.to,
     changeId: request.change_id,
     author: request.author,
     reason: request.reason,
-    base: request.base ?? before?.revision ?? 0
+    base: request.base ?? previous?.revision ?? 0
   }
-  return answerOf(context, change.changeId, changes, await rollBack({ store: keyValue, clock, signal }, change))
+  return answerForOutcome(context, change.changeId, changes, await rollBack({ store: keyValue, clock, signal }, change))
 }
 
 /**
- * Revisions, latest first, each with its difference against the one before.
+ * Returns the revisions, latest first, each with its difference from the previous revision.
  *
- * @param limit most revisions
+ * @param limit maximum number of revisions
  * @example
  * const { revisions } = await configurationHistory(context, 20)
  */
@@ -77,8 +80,8 @@
   const revisions = await readHistory(keyValue, limit + 1, signal)
   return {
     revisions: revisions.slice(0, limit).map((revision, index) => {
-      const before = revisions[index + 1]
-      const changes = before === undefined ? [] : difference(before.configuration, revision.configuration)
+      const previous = revisions[index + 1]
+      const changes = previous === undefined ? [] : difference(previous.configuration, revision.configuration)
       return {
         revision: revision.revision,
         change_id: revision.changeId,
@@ -91,12 +94,18 @@
   }
 }
 
-/** @example const id = createChangeId() */
+/**
+ * Creates a random change id.
+ *
+ * @example
+ * const id = createChangeId()
+ */
 export function createChangeId (): string {
   return randomUUID()
 }
 
-async function latest ({ keyValue, signal }: ChangeContext): Promise<ConfigurationRevision | undefined> {
+/** @throws ServingError `platform-unavailable` if the key-value service does not answer */
+async function readLatestRevision ({ keyValue, signal }: ChangeContext): Promise<ConfigurationRevision | undefined> {
   try {
     return (await readCurrent(keyValue, signal))?.stored
   } catch (cause) {
@@ -104,9 +113,9 @@
   }
 }
 
-async function answerOf (context: ChangeContext, changeId: string, changes: Difference, outcome: ChangeOutcome): Promise<ChangeAnswer> {
+async function answerForOutcome (context: ChangeContext, changeId: string, changes: Difference, outcome: ChangeOutcome): Promise<ChangeAnswer> {
   switch (outcome.kind) {
-    case 'accepted': return await delivered(context, changes, outcome)
+    case 'accepted': return await deliverRevision(context, changes, outcome)
     case 'unchanged': return { kind: 'unchanged', revision: outcome.revision.revision }
     case 'unknown': return { kind: 'unknown', change_id: changeId }
     case 'conflict': return {
@@ -119,13 +128,17 @@
   }
 }
 
-async function delivered (context: ChangeContext, changes: Difference, outcome: Extract<ChangeOutcome, { kind: 'accepted' }>): Promise<ChangeAnswer> {
+/**
+ * Offers an accepted revision to this node, delivers it to all members, and reports which nodes have not confirmed it.
+ * Nodes that are registered but not members yet were not sent the revision and count as missing.
+ */
+async function deliverRevision (context: ChangeContext, changes: Difference, outcome: Extract<ChangeOutcome, { kind: 'accepted' }>): Promise<ChangeAnswer> {
   const { configuration, membership } = context
   const { revision, superseded } = outcome
   configuration.offer(revision, 'delivery')
-  const report = await membership.deliver(configuration.current() ?? revision, IN_FORCE_BOUND)
-  const delivered = new Set(membership.nodes().map((node) => node.incarnation))
-  const unheard = (await knownNodes(context)).filter((node) => !delivered.has(node.incarnation))
+  const report = await membership.deliver(configuration.current() ?? revision, CONFIRMATION_TIMEOUT)
+  const memberIncarnations = new Set(membership.nodes().map((node) => node.incarnation))
+  const nonMembers = (await listKnownNodes(context)).filter((node) => !memberIncarnations.has(node.incarnation))
   return {
     kind: 'accepted',
     revision: revision.revision,
@@ -133,6 +146,6 @@
     superseded,
     difference: changes.map(describeDifference),
     confirmed: report.confirmed,
-    missing: [...report.missing, ...unheard].map((node) => node.instance)
+    missing: [...report.missing, ...nonMembers].map((node) => node.instance)
   }
 }
--- a/src/operator/inquiry.ts
+++ b/src/operator/inquiry.ts
@@ -1,4 +1,7 @@
-/** Questions that this node answers for peers, and asks of them for operators. */
+/**
+ * Inquiries between nodes on behalf of operators: this node's answers to peers, and queries to all nodes for one
+ * operator request.
+ */
 import { createTimeoutSignal } from '../bound-signal.js'
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
@@ -11,149 +14,156 @@
 import type { RequestFacts } from '../report/index.js'
 import { ServingError } from '../verdict.js'
 import type { OperatorContext } from './context.js'
-import { knownNodes } from './known-nodes.js'
+import { listKnownNodes } from './known-nodes.js'
 import type { ExplainAnswer, NodeStatus, StatusAnswer } from './messages.js'
 
+/** Dependencies of queries to all nodes. */
 type InquiryContext = Omit<OperatorContext, 'settings'>
 
-/** What a node needs to answer about itself. */
-type OwnContext = Omit<InquiryContext, 'peers' | 'signal' | 'keyValue'>
+/** Dependencies of answers about this node only. */
+type LocalContext = Omit<InquiryContext, 'peers' | 'signal' | 'keyValue'>
 
-/** Bound on one peer's answer. */
-const ANSWER_BOUND: Milliseconds = 2 * SECOND
+/** Maximum wait for one peer's answer. */
+const ANSWER_TIMEOUT: Milliseconds = 2 * SECOND
 
-/** Peers asked at a time. */
-const CONCURRENT = 16
+/** Number of peers that are queried at the same time. */
+const MAX_CONCURRENT_QUERIES = 16
 
-/** Nodes that are asked where the request's own nodes do not tell the whole story. */
-const MOST_ASKED = 400
+/** Maximum number of other nodes that are queried if the request's home does not know its complete history. */
+const MAX_QUERIED_NODES = 400
 
 /**
- * What this node answers when a peer asks for an operator.
+ * Creates the handlers with which this node answers peers' inquiries.
  *
  * @example
  * const handlers = createInquiryHandlers(context)
  */
-export function createInquiryHandlers (context: OwnContext): InquiryHandlers {
-  const own = (): Incarnation => context.membership.own().incarnation
+export function createInquiryHandlers (context: LocalContext): InquiryHandlers {
+  const ownIncarnation = (): Incarnation => context.membership.own().incarnation
   return {
     explain: (id) => {
       const request = context.facts.explain(id)
-      return { incarnation: own(), ...(request === undefined ? {} : { request: copyOf(request) }) }
+      return { incarnation: ownIncarnation(), ...(request === undefined ? {} : { request: copyRequestFacts(request) }) }
     },
-    state: () => stateOf(context),
+    state: () => localState(context),
     writeReport: () => context.reports.write()
   }
 }
 
 /**
- * What is in force at every node. Nodes that do not answer are listed as such.
+ * Returns the state of every known node, including the configuration revision in force there. Nodes that do not answer
+ * are listed with `answered: false`.
  *
  * @example
  * const { nodes } = await fleetStatus(context)
  */
 export async function fleetStatus (context: InquiryContext): Promise<StatusAnswer> {
-  const nodes = await askAll(context, await knownNodes(context), (peer, signal) => peer.inquiry.state.query(undefined, { signal }), () => stateOf(context))
+  const nodes = await queryNodes(context, await listKnownNodes(context), (peer, signal) => peer.inquiry.state.query(undefined, { signal }), () => localState(context))
   return {
     revision: context.configuration.revision(),
-    nodes: nodes.map(({ record, answer }) => statusOf(record, answer))
+    nodes: nodes.map(({ record, answer }) => nodeStatus(record, answer))
   }
 }
 
 /**
- * Has every node write its report now.
+ * Makes every known node write its report to the key-value service now.
  *
- * @returns nodes that did not confirm
+ * @returns nodes that did not confirm the write
  * @example
  * const missing = await writeAllReports(context)
  */
 export async function writeAllReports (context: InquiryContext): Promise<NodeRecord[]> {
-  const written = async (peer: PeerClient, signal: AbortSignal): Promise<boolean> => {
+  const writePeerReport = async (peer: PeerClient, signal: AbortSignal): Promise<boolean> => {
     await peer.inquiry.writeReport.mutate(undefined, { signal })
     return true
   }
-  const own = async (): Promise<boolean> => {
+  const writeOwnReport = async (): Promise<boolean> => {
     await context.reports.write()
     return true
   }
-  const answers = await askAll(context, await knownNodes(context), written, own)
+  const answers = await queryNodes(context, await listKnownNodes(context), writePeerReport, writeOwnReport)
   return answers.filter(({ answer }) => answer === undefined).map(({ record }) => record)
 }
 
 /**
- * What happened to one request. Its home and the nodes that it was handed to are asked first; when
- * they cannot tell its end, all others are asked.
+ * Collects the facts about one request from the nodes. The request's home is queried first. The other nodes, up to
+ * MAX_QUERIED_NODES, are queried only if the home does not know the end of the request or the request was handed over.
  *
- * @throws ServingError `not-found` when no node that answers remembers it
+ * @throws ServingError `not-found` if none of the nodes that answer remembers the request
  * @example
  * const { facts } = await explainRequest(context, id)
  */
 export async function explainRequest (context: InquiryContext, id: RequestId): Promise<ExplainAnswer> {
-  const records = await knownNodes(context)
+  const records = await listKnownNodes(context)
   const home = records.find((record) => record.incarnation === homeOf(id))
-  const first = await askForFacts(context, home === undefined ? [] : [home], id)
-  const rest = isWhole(first) ? [] : records.filter((record) => record !== home).slice(0, MOST_ASKED)
-  const answers = [...first, ...await askForFacts(context, rest, id)]
-  const known = answers.flatMap(({ answer }) => answer?.request ?? [])
+  const homeAnswers = await queryFacts(context, home === undefined ? [] : [home], id)
+  const otherRecords = isCompleteHistory(homeAnswers) ? [] : records.filter((record) => record !== home).slice(0, MAX_QUERIED_NODES)
+  const answers = [...homeAnswers, ...await queryFacts(context, otherRecords, id)]
+  const knownRequests = answers.flatMap(({ answer }) => answer?.request ?? [])
   const silent = answers.filter(({ answer }) => answer === undefined).map(({ record }) => record.instance)
-  const [key] = known.map((request) => request.key)
-  if (key === undefined) throw new ServingError(notFound(answers.length, silent, home === undefined), { code: 'not-found', verdict: 'may-have-run' })
+  const [key] = knownRequests.map((request) => request.key)
+  if (key === undefined) throw new ServingError(notFoundMessage(answers.length, silent, home === undefined), { code: 'not-found', verdict: 'may-have-run' })
   return {
     id,
     organisation: key.organisation,
     class: key.class,
-    facts: answers.flatMap(({ answer }) => factsIn(answer)).sort((left, right) => left.at - right.at),
-    dropped: known.reduce((sum, request) => sum + request.dropped, 0),
+    facts: answers.flatMap(({ answer }) => describedFacts(answer)).sort((left, right) => left.at - right.at),
+    dropped: knownRequests.reduce((sum, request) => sum + request.dropped, 0),
     home_lives: home !== undefined,
     asked: answers.length,
     silent
   }
 }
 
-interface Answered<T> {
+/** Answer of one node to a query. */
+interface NodeAnswer<T> {
   readonly record: NodeRecord
-  /** Undefined when the node did not answer in time. */
+  /** Undefined if the query failed or timed out. */
   readonly answer: T | undefined
 }
 
-async function askAll<T> (context: InquiryContext, records: readonly NodeRecord[], ask: (peer: PeerClient, signal: AbortSignal) => Promise<T>, own: () => T | Promise<T>): Promise<Answered<T>[]> {
+/**
+ * Queries the nodes in batches of MAX_CONCURRENT_QUERIES. This node answers locally, without a network call. Failed queries
+ * yield an undefined answer.
+ */
+async function queryNodes<T> (context: InquiryContext, records: readonly NodeRecord[], queryPeer: (peer: PeerClient, signal: AbortSignal) => Promise<T>, queryLocal: () => T | Promise<T>): Promise<NodeAnswer<T>[]> {
   const self = context.membership.own().incarnation
-  const answers: Answered<T>[] = []
-  for (let start = 0; start < records.length; start += CONCURRENT) {
-    const batch = records.slice(start, start + CONCURRENT)
+  const answers: NodeAnswer<T>[] = []
+  for (let start = 0; start < records.length; start += MAX_CONCURRENT_QUERIES) {
+    const batch = records.slice(start, start + MAX_CONCURRENT_QUERIES)
     answers.push(...await Promise.all(batch.map(async (record) => {
-      const signal = createTimeoutSignal(ANSWER_BOUND, context.signal)
-      const asked = record.incarnation === self ? Promise.resolve(own()) : ask(context.peers.at(record.peerAddress), signal)
-      return { record, answer: await asked.catch(() => undefined) }
+      const signal = createTimeoutSignal(ANSWER_TIMEOUT, context.signal)
+      const pending = record.incarnation === self ? Promise.resolve(queryLocal()) : queryPeer(context.peers.at(record.peerAddress), signal)
+      return { record, answer: await pending.catch(() => undefined) }
     })))
   }
   return answers
 }
 
-function askForFacts (context: InquiryContext, records: readonly NodeRecord[], id: RequestId): Promise<Answered<Explanation>[]> {
+function queryFacts (context: InquiryContext, records: readonly NodeRecord[], id: RequestId): Promise<NodeAnswer<Explanation>[]> {
   const handlers = createInquiryHandlers(context)
-  return askAll<Explanation>(context, records, (peer, signal) => peer.inquiry.explain.query({ id }, { signal }), () => handlers.explain(id))
+  return queryNodes<Explanation>(context, records, (peer, signal) => peer.inquiry.explain.query({ id }, { signal }), () => handlers.explain(id))
 }
 
-/** Whether the request's end is known and it was never anywhere else. */
-function isWhole (answers: readonly Answered<Explanation>[]): boolean {
+/** Whether the answers contain the request's end and no hand-over to or from another node. */
+function isCompleteHistory (answers: readonly NodeAnswer<Explanation>[]): boolean {
   const kinds = new Set(answers.flatMap(({ answer }) => answer?.request?.facts ?? []).map(({ fact }) => fact.kind))
   return (kinds.has('ended') || kinds.has('refused')) && !kinds.has('handed-over') && !kinds.has('taken-over')
 }
 
-function factsIn (answer: Explanation | undefined): ExplainAnswer['facts'] {
+function describedFacts (answer: Explanation | undefined): ExplainAnswer['facts'] {
   if (answer?.request === undefined) return []
   const { incarnation, request } = answer
   return request.facts.map(({ at, fact }) => ({ node: incarnation, at, fact, text: describeFact(fact) }))
 }
 
-function notFound (asked: number, silent: readonly string[], homeGone: boolean): string {
+function notFoundMessage (asked: number, silent: readonly string[], homeGone: boolean): string {
   const missing = silent.length === 0 ? '' : `; no answer from ${silent.join(', ')}`
   const home = homeGone ? '; the node that it belongs to is gone, and what only that node knew is lost' : ''
   return `none of ${asked} nodes remembers this request: it never came, or it is too long ago${missing}${home}`
 }
 
-function stateOf ({ membership, configuration, reports, executions, clock }: OwnContext): NodeState {
+function localState ({ membership, configuration, reports, executions, clock }: LocalContext): NodeState {
   const { confirmedAt } = reports.usage()
   return {
     incarnation: membership.own().incarnation,
@@ -164,7 +174,7 @@
   }
 }
 
-function statusOf (record: NodeRecord, state: NodeState | undefined): NodeStatus {
+function nodeStatus (record: NodeRecord, state: NodeState | undefined): NodeStatus {
   return {
     instance: record.instance,
     incarnation: record.incarnation,
@@ -177,6 +187,6 @@
   }
 }
 
-function copyOf (request: RequestFacts): NonNullable<Explanation['request']> {
+function copyRequestFacts (request: RequestFacts): NonNullable<Explanation['request']> {
   return { key: request.key, facts: [...request.facts], dropped: request.dropped }
 }
--- a/src/operator/known-nodes.ts
+++ b/src/operator/known-nodes.ts
@@ -1,7 +1,7 @@
 /**
- * The nodes that an operator's question is about. A node's own view may lack one that has just
- * started; the key-value service has its record already. What is told to operators as "all nodes"
- * is the union, as far as the service answers.
+ * Lists the nodes that operators' queries cover. The membership view of a node may lack nodes that have just started,
+ * but the key-value service already has their records. The list is therefore the union of both. If the key-value service
+ * does not answer, the list contains only the members.
  */
 import { NODE_PREFIX } from '../entry/registration.js'
 import { readJson } from '../json.js'
@@ -10,10 +10,12 @@
 import type { OperatorContext } from './context.js'
 
 /**
+ * Returns the records of all members and of all nodes that are registered in the key-value service.
+ *
  * @example
  * const nodes = await knownNodes(context)
  */
-export async function knownNodes ({ membership, keyValue, signal }: Pick<OperatorContext, 'membership' | 'keyValue' | 'signal'>): Promise<NodeRecord[]> {
+export async function listKnownNodes ({ membership, keyValue, signal }: Pick<OperatorContext, 'membership' | 'keyValue' | 'signal'>): Promise<NodeRecord[]> {
   const nodes = new Map(membership.nodes().map((record) => [record.incarnation, record]))
   const listing = await keyValue.list(NODE_PREFIX, signal).catch(() => undefined)
   for (const entry of listing?.entries ?? []) {
--- a/src/operator/messages.ts
+++ b/src/operator/messages.ts
@@ -1,36 +1,39 @@
-/** Messages between the operators' command and the nodes. */
+/** Schemas of the requests and answers of the operators' API. The nodes and the operators' command share them. */
 import * as z from 'zod'
 import { plannerHistorySchema } from '../capacity/index.js'
 import { configurationRevisionSchema } from '../configuration/index.js'
 import { addressSchema, classNameSchema, failureDomainSchema, incarnationSchema, instanceNameSchema, organisationNameSchema, requestIdSchema } from '../identifiers.js'
 import { factSchema } from '../report/index.js'
 
-/** Ask for a document to be put in force, or for its difference only. */
+/** Request to apply a configuration document, or to return only its difference in a dry run. */
 export const applyRequestSchema = z.object({
-  /** Parsed from TOML; checked by the node. */
+  /** Document parsed from TOML by the command. The node validates it. */
   document: z.unknown(),
-  /** Minted once by the command and kept over its attempts. */
+  /**
+   * Created once by the command. All attempts of the same change carry the same id, so that the change is applied at
+   * most once.
+   */
   change_id: z.string().min(8).max(100),
   author: z.string().min(1).max(200),
   reason: z.string().min(1).max(2_000),
-  /** Revision the operator changes; the current one when left out. */
+  /** Revision that the change is based on. Defaults to the current one. */
   base: z.number().int().nonnegative().optional(),
   dry_run: z.boolean().default(false)
 })
 export type ApplyRequest = z.input<typeof applyRequestSchema>
 
-/** Ask for an earlier revision's document to be put in force again. */
+/** Request to apply the document of an earlier revision again. */
 export const rollbackRequestSchema = applyRequestSchema.omit({ document: true }).extend({ to: z.number().int().positive() })
 export type RollbackRequest = z.input<typeof rollbackRequestSchema>
 
-/** Where a node stands. */
+/** State of one node. */
 export const nodeStatusSchema = z.object({
   instance: instanceNameSchema,
   incarnation: incarnationSchema,
   failure_domain: failureDomainSchema,
   address: addressSchema,
   leaving: z.boolean(),
-  /** False: it could not be asked. What it has in force is unknown then. */
+  /** False if the node did not answer. The revision in force there is then unknown. */
   answered: z.boolean(),
   revision: z.number().int().nonnegative().optional(),
   usable: z.boolean().optional(),
@@ -39,7 +42,7 @@
 })
 export type NodeStatus = z.infer<typeof nodeStatusSchema>
 
-/** What became of a change. */
+/** Outcome of a change. */
 export const changeAnswerSchema = z.discriminatedUnion('kind', [
   z.object({
     kind: z.literal('accepted'),
@@ -47,22 +50,25 @@
     change_id: z.string(),
     superseded: z.boolean(),
     difference: z.array(z.string()),
-    /** Nodes at which it was in force when this was answered, and those that had not confirmed it. */
+    /**
+     * Number of nodes that had confirmed the revision when the answer was sent. The nodes in `missing` had not
+     * confirmed it.
+     */
     confirmed: z.number().int(),
     missing: z.array(instanceNameSchema)
   }),
   z.object({ kind: z.literal('dry-run'), base: z.number().int(), difference: z.array(z.string()) }),
   z.object({ kind: z.literal('unchanged'), revision: z.number().int() }),
   z.object({ kind: z.literal('conflict'), revision: z.number().int(), author: z.string(), reason: z.string(), difference: z.array(z.string()) }),
-  /** Nobody can tell yet. The same change id settles it later. */
+  /** The change may or may not have been accepted. A repetition with the same change id settles the outcome. */
   z.object({ kind: z.literal('unknown'), change_id: z.string() })
 ])
 export type ChangeAnswer = z.infer<typeof changeAnswerSchema>
 
-/** The revision in force at the node that answers. */
+/** Revision in force at the answering node. Undefined if the node knows none. */
 export const currentAnswerSchema = z.object({ current: configurationRevisionSchema.optional() })
 
-/** Revisions with what each changed, latest first. */
+/** Revisions with their differences, latest first. */
 export const historyAnswerSchema = z.object({
   revisions: z.array(z.object({
     revision: z.number().int(),
@@ -70,34 +76,34 @@
     author: z.string(),
     reason: z.string(),
     changed_at: z.number(),
-    /** Against the revision before it; of the oldest one that is told nothing is known before. */
+    /** Difference from the previous revision. Empty if no previous revision is stored. */
     difference: z.array(z.string())
   }))
 })
 export type HistoryAnswer = z.infer<typeof historyAnswerSchema>
 
-/** Where every node stands. */
+/** State of every known node. */
 export const statusAnswerSchema = z.object({
-  /** Latest revision that the answering node knows of. */
+  /** Latest revision known to the answering node. */
   revision: z.number().int().nonnegative(),
   nodes: z.array(nodeStatusSchema)
 })
 export type StatusAnswer = z.infer<typeof statusAnswerSchema>
 
-/** What happened to one request, as all nodes that saw it remember. */
+/** Facts about one request, merged from all nodes that remember it. */
 export const explainAnswerSchema = z.object({
   id: requestIdSchema,
   organisation: organisationNameSchema.optional(),
   class: classNameSchema.optional(),
   facts: z.array(z.object({ node: incarnationSchema, at: z.number(), fact: factSchema, text: z.string() })),
-  /** Facts that were dropped to keep memory bounded. */
+  /** Number of facts that the nodes dropped to bound their memory. */
   dropped: z.number().int(),
-  /** The node whose id it is lives. If not, what only it knew is lost. */
+  /** Whether the node that owns the request is still known. If not, facts known only to that node are lost. */
   home_lives: z.boolean(),
   asked: z.number().int(),
   silent: z.array(instanceNameSchema)
 })
 export type ExplainAnswer = z.infer<typeof explainAnswerSchema>
 
-/** What the planner did, and why. */
+/** Actions of the planner with their reasons. */
 export const plannerAnswerSchema = plannerHistorySchema
--- a/src/operator/report-reader.ts
+++ b/src/operator/report-reader.ts
@@ -1,4 +1,6 @@
-/** Reads reports of all nodes and the totals, and makes the report document of a range. */
+/**
+ * Reads the snapshots of all nodes and the totals from the key-value service and builds the report document of a range.
+ */
 import type { Milliseconds } from '../clock.js'
 import { HOUR, MINUTE } from '../clock.js'
 import type { OrganisationName } from '../identifiers.js'
@@ -8,7 +10,7 @@
 import { ServingError } from '../verdict.js'
 import type { OperatorContext } from './context.js'
 
-/** A range of wall times. */
+/** Range of wall times. */
 export interface ReportRange {
   readonly from: Milliseconds
   readonly to: Milliseconds
@@ -16,30 +18,42 @@
 
 const DAY: Milliseconds = 24 * HOUR
 
-/** Longest range of one report. */
-export const LONGEST_RANGE: Milliseconds = 14 * DAY
+/** Maximum length of the range of one report. */
+export const MAX_RANGE: Milliseconds = 14 * DAY
 
-/** A node's total of gaps may begin in a period before the range. */
-const GAP_REACH: Milliseconds = 2 * PERIOD
+/**
+ * Totals are read from this long before the range, because a gap is stored in the period in which it began and may
+ * extend into the range.
+ */
+const GAP_LOOKBACK: Milliseconds = 2 * PERIOD
 
-/** Pause after each value, so that callers' requests are not held up by a large report. */
-const BREATH: Milliseconds = 0
+/**
+ * Pause after each value. A pause of 0 only yields to the event loop, so that a large report does not delay callers'
+ * requests.
+ */
+const YIELD_PAUSE: Milliseconds = 0
 
-/** Organisations are answered from one reading for this long: their programs may poll, and a reading costs the key-value service some fifty calls. */
-const ORGANISATION_CACHE: Milliseconds = 5 * MINUTE
+/**
+ * Time for which an organisation's report is cached. Organisations' programs may poll, and each read makes about 50
+ * calls to the key-value service.
+ */
+const ORGANISATION_CACHE_LIFETIME: Milliseconds = 5 * MINUTE
 
-/** Range that an organisation sees. */
+/** Length of the range of an organisation's own report. */
 const ORGANISATION_RANGE: Milliseconds = DAY
 
+/** Dependencies of reading reports. */
 type ReaderContext = Pick<OperatorContext, 'keyValue' | 'configuration' | 'clock' | 'signal'>
 
 /**
- * Report over a range.
+ * Builds the report of a range.
  *
- * Snapshots are read before totals: an epoch that is folded in between is in both, and the total
- * names it, so it is passed over. In the other order it could be in neither.
+ * Snapshots are read before totals. An epoch that is folded between the two reads is then in both. The total names the
+ * epoch, so that the snapshot is ignored. In the opposite order the epoch could be in neither.
  *
- * @throws ServingError when the key-value service cannot be reached
+ * @param organisation restricts the report to this organisation
+ * @throws ServingError `invalid-request` for an invalid range; `internal` for a value that cannot be decoded; also if the
+ *   key-value service cannot be reached
  * @example
  * const document = await readReport(context, { from, to })
  */
@@ -55,37 +69,37 @@
     organisation
   })
   const snapshots = await readSnapshots(context)
-  for (let period = periodOf(range.from) - GAP_REACH; period < range.to; period += PERIOD) {
+  for (let period = periodOf(range.from) - GAP_LOOKBACK; period < range.to; period += PERIOD) {
     for (const total of await readTotals(context, period)) {
       summary.addTotal(total)
-      await clock.sleep(BREATH, context.signal)
+      await clock.sleep(YIELD_PAUSE, context.signal)
     }
   }
   for (const snapshot of snapshots) {
     summary.addSnapshot(snapshot)
-    await clock.sleep(BREATH, context.signal)
+    await clock.sleep(YIELD_PAUSE, context.signal)
   }
   return summary.finish()
 }
 
 /**
- * Reader of organisations' own reports, which shares one reading of an organisation among all that ask
- * within a few minutes.
+ * Creates a reader of organisations' own reports over the last day. Each organisation's report is cached for a few
+ * minutes and shared by all its callers. Failed reads are not cached.
  *
  * @example
  * const read = createOrganisationReader(context)
  * const document = await read(organisation)
  */
 export function createOrganisationReader (context: ReaderContext): (organisation: OrganisationName) => Promise<ReportDocument> {
-  const kept = new Map<OrganisationName, { until: Milliseconds, document: Promise<ReportDocument> }>()
+  const cache = new Map<OrganisationName, { until: Milliseconds, document: Promise<ReportDocument> }>()
   return (organisation) => {
     const now = context.clock.now()
-    const known = kept.get(organisation)
-    if (known !== undefined && now < known.until) return known.document
+    const cached = cache.get(organisation)
+    if (cached !== undefined && now < cached.until) return cached.document
     const wall = context.clock.wall()
     const document = readReport(context, { from: wall - ORGANISATION_RANGE, to: wall }, organisation)
-    kept.set(organisation, { until: now + ORGANISATION_CACHE, document })
-    document.catch(() => kept.delete(organisation))
+    cache.set(organisation, { until: now + ORGANISATION_CACHE_LIFETIME, document })
+    document.catch(() => cache.delete(organisation))
     return document
   }
 }
@@ -94,7 +108,7 @@
   const snapshots: Snapshot[] = []
   for (let shard = 0; shard < SHARDS; shard += 1) {
     const { entries } = await keyValue.list(shardPrefix(shard), signal)
-    for (const entry of entries) snapshots.push(readable(entry.key, decodeSnapshot(entry.value)))
+    for (const entry of entries) snapshots.push(requireReadable(entry.key, decodeSnapshot(entry.value)))
   }
   return snapshots
 }
@@ -102,16 +116,19 @@
 async function readTotals ({ keyValue, signal }: ReaderContext, period: Milliseconds): Promise<Total[]> {
   if (period < 0) return []
   const { entries } = await keyValue.list(periodPrefix(period), signal)
-  return entries.map((entry) => readable(entry.key, decodeTotal(entry.value)))
+  return entries.map((entry) => requireReadable(entry.key, decodeTotal(entry.value)))
 }
 
-/** A value that cannot be read must not be left out in silence: the sums would look whole. */
-function readable<T> (key: string, value: T | undefined): T {
+/**
+ * Returns the value, or throws if it could not be decoded. Skipping the value would give sums that look complete but
+ * are not.
+ */
+function requireReadable<T> (key: string, value: T | undefined): T {
   if (value !== undefined) return value
   throw new ServingError(`${key} cannot be read; the report would be incomplete`, { code: 'internal', verdict: 'ran' })
 }
 
 function checkRange ({ from, to }: ReportRange): void {
-  if (from < to && to - from <= LONGEST_RANGE) return
+  if (from < to && to - from <= MAX_RANGE) return
   throw new ServingError('the range must begin before it ends and be no longer than 14 days', { code: 'invalid-request', verdict: 'not-run' })
 }
--- a/test/operator/change.test.ts
+++ b/test/operator/change.test.ts
@@ -1,13 +1,13 @@
-/** What the command says about a change, for answers that a test gives it. */
+/** Messages of the commands that change the configuration, checked against stubbed answers of the operators' API. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { rollbackCommand } from '../../src/operator/command/change.js'
 import type { OperatorClient } from '../../src/operator/command/connection.js'
 
-// A region is cut off while an operator takes a customer's key out. The command says that nodes which did
-// not confirm take no new work, the operator goes home, and the region serves the key for another hour: it
-// hears no other node, but its nodes hear each other and serve on with the revision before.
-test('an operator is told that a group cut off together may serve on with the revision before', async () => {
+// Failure guarded against: a network partition cuts off a group of nodes while an operator removes an organisation's key.
+// If the command says that unconfirmed nodes take no new work, the operator relies on that. But the nodes of the group
+// still reach each other, keep the previous revision and go on serving the removed key.
+test('the note on unconfirmed nodes says that a partitioned group may go on serving with the previous revision', async () => {
   const notes: string[] = []
   let out = ''
   const client: OperatorClient = {
--- a/test/operator/operator.test.ts
+++ b/test/operator/operator.test.ts
@@ -1,4 +1,4 @@
-/** The operators' API and command against a running deployment. */
+/** Tests of the operators' API and commands against a running deployment. */
 import assert from 'node:assert/strict'
 import { mkdtempSync, readFileSync, writeFileSync } from 'node:fs'
 import { tmpdir } from 'node:os'
@@ -23,7 +23,7 @@
 
 const QUESTION = [{ role: 'user' as const, content: 'Which valve fits?' }]
 
-interface Written {
+interface CommandResult {
   out: string
   notes: string[]
   code: number
@@ -45,14 +45,14 @@
   await deployment.kill()
 })
 
-async function capture (command: (output: { out (text: string): void, note (text: string): void, exit (code: number): void }) => Promise<void>): Promise<Written> {
-  const written: Written = { out: '', notes: [], code: EXIT.success }
+async function capture (command: (output: { out (text: string): void, note (text: string): void, exit (code: number): void }) => Promise<void>): Promise<CommandResult> {
+  const result: CommandResult = { out: '', notes: [], code: EXIT.success }
   await command({
-    out: (text) => { written.out += text },
-    note: (text) => { written.notes.push(text) },
-    exit: (code) => { written.code = code }
+    out: (text) => { result.out += text },
+    note: (text) => { result.notes.push(text) },
+    exit: (code) => { result.code = code }
   })
-  return written
+  return result
 }
 
 async function freshReport (): Promise<ReportDocument> {
@@ -60,7 +60,7 @@
   return reportDocumentSchema.parse(JSON.parse(out))
 }
 
-test('the report agrees with what the callers saw, and each organisation reads its own', async () => {
+test('the report agrees with the callers\' results, and an organisation sees only its own report', async () => {
   const [tejo, ribeira] = [deployment.key, deployment.otherKey].map((key) => createClient({ addresses: deployment.addresses, key }))
   await Promise.all(Array.from({ length: 12 }, () => tejo!.chat({ class: 'short-question', messages: QUESTION, maxTokens: 5 })))
   await ribeira!.chat({ class: 'service-plan', messages: QUESTION, maxTokens: 20 })
@@ -83,7 +83,7 @@
   await Promise.all([tejo!.close(), ribeira!.close()])
 })
 
-test('nobody without the operators\' key is answered', async () => {
+test('requests without the operators\' key are rejected with status 401', async () => {
   for (const path of ['configuration', 'configuration/history', 'status', 'report', 'planner', `requests/${'x'.repeat(20)}`]) {
     for (const key of [deployment.key, 'wrong', '']) {
       const response = await fetch(`http://${deployment.addresses[0]}/operator/${path}`, { headers: { authorization: `Bearer ${key}` } })
@@ -93,7 +93,7 @@
   }
 })
 
-test('a change is tried, applied, raced, rolled back and found in the history', async () => {
+test('a change passes dry run, apply, conflict and rollback, and appears in the history', async () => {
   const shown = await capture((output) => showCommand(client, output, { json: true }))
   const document = JSON.parse(shown.out).configuration
   document.classes[0].target.whole_answer_ms = 25_000
@@ -107,19 +107,19 @@
 
   document.classes[0].target.whole_answer_ms = 20_000
   writeFileSync(file, stringify(document))
-  const raced = await capture((output) => applyCommand(client, output, file, { reason: 'even sooner', base: 1 }))
-  assert.equal(raced.code, EXIT.failure)
-  assert.match(raced.notes.join('\n'), /CONFLICT: not accepted\. Revision 2 by/)
+  const conflicting = await capture((output) => applyCommand(client, output, file, { reason: 'even sooner', base: 1 }))
+  assert.equal(conflicting.code, EXIT.failure)
+  assert.match(conflicting.notes.join('\n'), /CONFLICT: not accepted\. Revision 2 by/)
 
-  const back = await capture((output) => rollbackCommand(client, output, 1, { reason: 'too strict' }))
-  assert.match(back.out, /Accepted as revision 3/)
+  const rolledBack = await capture((output) => rollbackCommand(client, output, 1, { reason: 'too strict' }))
+  assert.match(rolledBack.out, /Accepted as revision 3/)
   const history = await capture((output) => historyCommand(client, output, {}))
   assert.match(history.out, /^3 {2}.*too strict\n {4}class service-plan: target.whole_answer_ms 25000 -> 30000\n2 {2}.*plans are needed sooner/)
   const status = await capture((output) => statusCommand(client, output, {}))
   assert.match(status.out, /Revision 3 is in force at 3 of 3 nodes\./)
 })
 
-test('weights, addresses and instances are refused by name, and nothing is changed', async () => {
+test('a configuration with a weight is rejected with the path of the field, and nothing is changed', async () => {
   const file = join(folder, 'weights.toml')
   const shown = await capture((output) => showCommand(client, output, { json: true }))
   const document = JSON.parse(shown.out).configuration
@@ -130,45 +130,44 @@
   })
 })
 
-test('an apply whose replies are all lost is unknown, and settled by the same change id', async () => {
-  // An operator would see an error and apply again, and the second apply would come as a conflict with
-  // the first, or undo what a colleague changed in between. The write takes effect; its reply and all
-  // attempts to read it back are lost.
+test('an apply whose reply is lost has an unknown outcome, which a repetition with the same change id settles', async () => {
+  // Failure guarded against: the write takes effect but its reply is lost, and the operator applies the document again.
+  // As a new change, the second apply would conflict with the first one or undo another operator's change made in between.
   const shown = await capture((output) => showCommand(client, output, { json: true }))
   const document = JSON.parse(shown.out).configuration
   document.classes[1].target.whole_answer_ms = 7_000
   const file = join(folder, 'lost.toml')
   writeFileSync(file, stringify(document))
   const base = JSON.parse(shown.out).revision
-  const lossy: OperatorClient = {
+  const lossyClient: OperatorClient = {
     ...client,
     post: async (path, body, schema) => {
       await client.post(path, body, schema)
       throw new ServingError('reply lost', { code: 'outcome-unknown', verdict: 'may-have-run' })
     }
   }
-  const unknown = await capture((output) => applyCommand(lossy, output, file, { reason: 'faster', json: true }))
+  const unknown = await capture((output) => applyCommand(lossyClient, output, file, { reason: 'faster', json: true }))
   assert.equal(unknown.code, EXIT.unknown)
   const changeId: string = JSON.parse(unknown.out).change_id
   const settled = await capture((output) => applyCommand(client, output, file, { reason: 'faster', changeId, base, json: true }))
   assert.deepEqual([settled.code, JSON.parse(settled.out).kind, JSON.parse(settled.out).revision], [EXIT.success, 'accepted', base + 1])
 })
 
-test('a request is explained from any node, and an unknown one is said to be unknown', async () => {
+test('any node explains a request, and an unknown request is reported as not found', async () => {
   const caller = createClient({ addresses: deployment.addresses, key: deployment.key })
   const answer = await caller.chat({ class: 'short-question', messages: QUESTION, maxTokens: 3 })
   for (const address of deployment.addresses) {
-    const single = createOperatorClient({ addresses: [address], operator_key: deployment.operatorKey })
-    const { out } = await capture((output) => explainCommand(single, output, answer.id, {}))
+    const singleNodeClient = createOperatorClient({ addresses: [address], operator_key: deployment.operatorKey })
+    const { out } = await capture((output) => explainCommand(singleNodeClient, output, answer.id, {}))
     assert.match(out, /class short-question of tejo[^]*accepted[^]*attempt 1 sent to engine[^]*first token from[^]*ended: served whole/)
-    await single.close()
+    await singleNodeClient.close()
   }
-  const never = requestIdFor(deployment.entries[0]!.incarnation, 'a'.repeat(20))
-  await assert.rejects(capture((output) => explainCommand(client, output, never, {})), /none of 3 nodes remembers this request/)
+  const unknownId = requestIdFor(deployment.entries[0]!.incarnation, 'a'.repeat(20))
+  await assert.rejects(capture((output) => explainCommand(client, output, unknownId, {})), /none of 3 nodes remembers this request/)
   await caller.close()
 })
 
-test('the page stands on its own', async () => {
+test('the HTML page has no external references', async () => {
   const file = join(folder, 'report.html')
   await capture((output) => reportCommand(client, output, { fresh: true, html: file }, Date.now()))
   const page = readFileSync(file, 'utf8')
@@ -176,28 +175,29 @@
   assert.equal(/(src|href)=|url\(|@import|<script/.test(page), false)
 })
 
-test('a request that was handed over is explained although its home is gone', async () => {
-  // An operator would be told that nobody knows the request: its node was taken back in the middle of
-  // the answer, and only the node that went on remembers it.
+test('a request that was handed over is explained after its home has stopped', async () => {
+  // Failure guarded against: the home of a request stops in the middle of the answer, so that only the node that took the
+  // request over remembers it. If only the home were asked, the request would be reported as unknown.
   const clock = createSystemClock()
   const caller = createClient({ addresses: deployment.addresses, key: deployment.key })
   const answering = caller.chat({ class: 'service-plan', messages: QUESTION, maxTokens: 300 })
-  const holder = await untilOpen(clock)
-  await holder.stop(clock.now() + 3_000)
+  const home = await waitForOpenRequest(clock)
+  await home.stop(clock.now() + 3_000)
   const { id, tokens } = await answering
   assert.equal(tokens, 300)
-  const left = deployment.entries.filter((entry) => entry !== holder)
-  const single = createOperatorClient({ addresses: [left[0]!.address], operator_key: deployment.operatorKey })
-  const { out, notes } = await capture((output) => explainCommand(single, output, id, {}))
+  const remaining = deployment.entries.filter((entry) => entry !== home)
+  const singleNodeClient = createOperatorClient({ addresses: [remaining[0]!.address], operator_key: deployment.operatorKey })
+  const { out, notes } = await capture((output) => explainCommand(singleNodeClient, output, id, {}))
   assert.match(out, /taken over from entry-[^]*ended: served whole/)
   assert.match(notes.join('\n'), /The node that this request belongs to is gone/)
-  await Promise.all([single.close(), caller.close()])
+  await Promise.all([singleNodeClient.close(), caller.close()])
 })
 
-async function untilOpen (clock: ReturnType<typeof createSystemClock>): Promise<Deployment['entries'][number]> {
+/** Waits for a request with more than 10 generated tokens and returns its home. */
+async function waitForOpenRequest (clock: ReturnType<typeof createSystemClock>): Promise<Deployment['entries'][number]> {
   for (let wait = 0; wait < 200; wait += 1) {
-    const holder = deployment.entries.find((entry) => entry.parts.executions.open().some((execution) => execution.answer.offset() > 10))
-    if (holder !== undefined) return holder
+    const home = deployment.entries.find((entry) => entry.parts.executions.open().some((execution) => execution.answer.offset() > 10))
+    if (home !== undefined) return home
     await clock.sleep(10)
   }
   throw new Error('no request was open in time')
