--- a/src/backpressure/departures.ts
+++ b/src/backpressure/departures.ts
@@ -1,9 +1,9 @@
 /**
- * Upstream incarnations that have announced in a response that they are shutting down.
+ * Upstream incarnations that have announced in an answer that they are shutting down.
  *
  * Failure guarded against: while the store is unavailable, a departing upstream cannot update its record, so the
  * record still says 'ready' and requests keep arriving until the process ends. The announcement is therefore also
- * taken from responses and shared between nodes. It is never revoked, because an incarnation that starts to leave
+ * taken from answers and shared between nodes. It is never revoked, because an incarnation that starts to leave
  * does not return.
  */
 import * as z from 'zod'
@@ -12,21 +12,21 @@
 import { upstreamIncarnationSchema } from '../placement/index.js'
 import type { UpstreamIncarnation } from '../placement/index.js'
 
-/** Incarnations whose departure a node learnt from their own responses. */
+/** Incarnations whose departure a node learnt from their own answers. */
 export const reportedDeparturesSchema = z.array(upstreamIncarnationSchema)
 export type ReportedDepartures = z.infer<typeof reportedDeparturesSchema>
 
 /** The departures that one node knows of. */
 export interface Departures {
   /**
-   * Records that a response announced the departure.
+   * Records that an answer announced the departure.
    *
    * @returns whether the departure was not known before
    */
   heard (incarnation: UpstreamIncarnation, now: Milliseconds): boolean
   /** Whether the incarnation is known to be leaving. */
   isLeaving (incarnation: UpstreamIncarnation): boolean
-  /** Departures that this node learnt from responses within the last 30 seconds, to be reported to other nodes. */
+  /** Departures that this node learnt from answers within the last 30 seconds, to be reported to other nodes. */
   told (now: Milliseconds): ReportedDepartures
   /**
    * Adds departures that other nodes have reported.
--- a/src/backpressure/index.ts
+++ b/src/backpressure/index.ts
@@ -1,4 +1,4 @@
-/** Back pressure from upstreams: announced departures, requested pauses and rate limits. */
+/** Backpressure from upstreams: announced departures, requested pauses and rate limits. */
 export type { UpstreamSignals } from './types.js'
 export { createDepartures, reportedDeparturesSchema } from './departures.js'
 export type { Departures, ReportedDepartures } from './departures.js'
--- a/src/backpressure/pauses.ts
+++ b/src/backpressure/pauses.ts
@@ -22,7 +22,7 @@
   return {
     heard: (incarnation, retryAfter, now) => {
       for (const [known, end] of ends) if (end <= now) ends.delete(known)
-      // Responses may arrive out of order, so the longer of two requested pauses applies.
+      // Answers may arrive out of order, so the longer of two requested pauses applies.
       ends.set(incarnation, Math.max(ends.get(incarnation) ?? 0, now + retryAfter))
     },
     wait: (incarnation, now) => Math.max(0, (ends.get(incarnation) ?? 0) - now)
--- a/src/backpressure/rate-limits.ts
+++ b/src/backpressure/rate-limits.ts
@@ -1,5 +1,5 @@
 /**
- * Rate limits that upstreams name in their responses, enforced by all nodes together without coordination per
+ * Rate limits that upstreams name in their answers, enforced by all nodes together without coordination per
  * request.
  *
  * Each limit is assigned to a few nodes by rendezvous hashing, and each of these nodes keeps a minimum pause between
@@ -17,7 +17,7 @@
 export const reportedLimitsSchema = z.record(upstreamIncarnationSchema, z.object({
   /** Requests per second. Missing if the upstream no longer names a limit. */
   rate: z.number().optional(),
-  /** Milliseconds since the response that named this limit was received. */
+  /** Milliseconds since the answer that named this limit was received. */
   age: z.number()
 }))
 export type ReportedLimits = z.infer<typeof reportedLimitsSchema>
@@ -39,13 +39,13 @@
 /** The rate limits that one node knows of. */
 export interface RateLimits {
   /**
-   * Records the limit that a response named, or that it named none.
+   * Records the limit that an answer named, or that it named none.
    *
-   * @param sentAt when the request of this response was sent
+   * @param sentAt when the request of this answer was sent
    * @returns the change, or undefined if nothing changed for this node
    */
   heard (incarnation: UpstreamIncarnation, rate: number | undefined, sentAt: Milliseconds, now: Milliseconds): RateLimitChange | undefined
-  /** Limits that this node learnt from responses within the last 30 seconds, to be reported to other nodes. */
+  /** Limits that this node learnt from answers within the last 30 seconds, to be reported to other nodes. */
   told (now: Milliseconds): ReportedLimits
   /**
    * Merges limits that other nodes have reported.
@@ -91,7 +91,7 @@
 const MAX_REPORT_DELAY: Milliseconds = 3 * SECOND
 
 /**
- * If no response has named the limit for this many of its intervals, and for at least PROBE_AFTER, the nodes without
+ * If no answer has named the limit for this many of its intervals, and for at least PROBE_AFTER, the nodes without
  * a share may send a request in turn, at this fraction of the limit. Failure guarded against: the nodes with a share
  * have no requests to send, so no node learns that the limit was lifted, and the upstream stays idle.
  */
@@ -116,9 +116,9 @@
 interface KnownLimit {
   /** Requests per second. Undefined once the upstream names no limit any more. */
   readonly rate: number | undefined
-  /** When the response that named the limit was received. */
+  /** When the answer that named the limit was received. */
   readonly at: Milliseconds
-  /** Whether this node received that response itself, rather than a report from another node. */
+  /** Whether this node received that answer itself, rather than a report from another node. */
   readonly isDirect: boolean
   /** Minimum time between two requests of this node. Undefined if the node has no share, or if there is no limit. */
   readonly pause: Milliseconds | undefined
@@ -198,7 +198,7 @@
     heard: (incarnation, rate, sentAt, now) => {
       const known = limits.get(incarnation)
       if (rate === undefined && known === undefined) return undefined
-      // Failure guarded against: a delayed response to a request that was sent before the limit was named does not
+      // Failure guarded against: a delayed answer to a request that was sent before the limit was named does not
       // name it, and the limit would be taken as lifted.
       if (rate === undefined && known?.rate !== undefined && sentAt < known.at) return undefined
       return updateLimit(incarnation, rate, now, true, now)
--- a/src/bin/hornbeamgap-gateway.ts
+++ b/src/bin/hornbeamgap-gateway.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /** `hornbeamgap-gateway`: runs a gateway node on the machines of its users. */
 import { createPlatform, gatewaySettingsSchema, SETTINGS_VARIABLE } from '../../platform/index.js'
-import { createBoundedLineSink } from '../bounded-lines.js'
+import { createBoundedLineSink } from '../bounded-line-sink.js'
 import { createSystemClock } from '../clock.js'
 import { startGatewayNode } from '../gateway/node.js'
 import { watchSettings } from '../gateway/settings-reload.js'
--- a/src/capacity/demand.ts
+++ b/src/capacity/demand.ts
@@ -32,7 +32,7 @@
 
 /** Parameters of the demand forecast. */
 export interface DemandForecastOptions {
-  /** Fraction of responses that must meet their target. The strictest class determines it. */
+  /** Fraction of answers that must meet their target. The strictest class determines it. */
   readonly quantile: number
   /** Time until capacity ordered now serves requests, in milliseconds. */
   readonly leadTime: Milliseconds
--- a/src/capacity/hysteresis.ts
+++ b/src/capacity/hysteresis.ts
@@ -7,7 +7,7 @@
 import type { ServiceName } from '../identifiers.js'
 import type { ChosenMix } from './desired-state.js'
 import { figuresOf, limitToFeasible } from './mix.js'
-import type { Counts, MixProblem } from './mix.js'
+import type { InstanceCounts, MixProblem } from './mix.js'
 import { amendMix } from './mix-search.js'
 import type { MixSolution } from './mix-search.js'
 import { offerKey } from './types.js'
@@ -59,18 +59,18 @@
 }
 
 /** Whether a mix meets the targets as far as the available capacity allows. */
-function isSufficient (problem: MixProblem, counts: Counts): boolean {
+function isSufficient (problem: MixProblem, counts: InstanceCounts): boolean {
   const { shortfall, recomputed } = figuresOf(limitToFeasible(problem).problem, counts)
   return shortfall <= SHORTFALL_TOLERANCE && recomputed <= problem.recomputedBound * RECOMPUTED_TOLERANCE
 }
 
-function minimalChange (problem: MixProblem, present: Counts, best: MixSolution): Counts {
+function minimalChange (problem: MixProblem, present: InstanceCounts, best: MixSolution): InstanceCounts {
   const amended = amendMix(problem, present)
   const isAcceptable = isSufficient(problem, amended.counts) && amended.figures.costPerHour <= best.figures.costPerHour * AMENDED_COST_TOLERANCE
   return isAcceptable ? amended.counts : best.counts
 }
 
-function toChosenMix (service: ServiceName, problem: MixProblem, counts: Counts): ChosenMix {
+function toChosenMix (service: ServiceName, problem: MixProblem, counts: InstanceCounts): ChosenMix {
   const instances = problem.offers.map(({ failureDomain, machineClass, market }, index) => ({ failureDomain, machineClass, market, count: counts[index] ?? 0 }))
   return { service, need: problem.need, instances: instances.filter((entry) => entry.count > 0) }
 }
--- a/src/capacity/instance-capacity.ts
+++ b/src/capacity/instance-capacity.ts
@@ -1,8 +1,8 @@
 /**
  * Capacity of one instance of a machine class within targets, learnt from observed load.
  *
- * An engine's time between tokens grows nearly linearly with the number of responses it decodes at a time. A line
- * fitted to samples of different load predicts at how many responses the target is reached. The prediction is needed
+ * An engine's time between tokens grows nearly linearly with the number of answers it decodes at a time. A line
+ * fitted to samples of different load predicts at how many answers the target is reached. The prediction is needed
  * because instances normally run below that point and keep the rest in reserve for the work of a lost failure domain.
  * It is limited by the observed load: an instance is expected to take the load that a lost domain adds, but not more.
  */
@@ -14,7 +14,7 @@
 export const instanceCapacitySchema = z.object({
   /** Highest work per second observed within targets. */
   highest: z.number().nonnegative(),
-  /** Exponentially decayed sums of the line fitted to (responses decoded at a time, milliseconds between tokens). */
+  /** Exponentially decayed sums of the line fitted to (answers decoded at a time, milliseconds between tokens). */
   weight: z.number(),
   running: z.number(),
   interval: z.number(),
@@ -27,13 +27,13 @@
 export interface CapacitySample {
   /** Work per second done by one instance. */
   readonly workPerSecond: number
-  /** Responses decoded at a time. Undefined for plain services. */
+  /** Answers decoded at a time. Undefined for plain services. */
   readonly running: number | undefined
-  /** Fraction of responses that met their target. */
+  /** Fraction of answers that met their target. */
   readonly inTarget: number
   /** Quantile required by the strictest class. */
   readonly quantile: number
-  /** Whether requests queued at instances. Without a queue, late responses have another cause than load. */
+  /** Whether requests queued at instances. Without a queue, late answers have another cause than load. */
   readonly queued: boolean
 }
 
--- a/src/capacity/mix-search.ts
+++ b/src/capacity/mix-search.ts
@@ -9,11 +9,11 @@
  */
 import type { FailureDomain } from '../identifiers.js'
 import { figuresOf, fixedWorkAfterLoss, isLost, limitToFeasible } from './mix.js'
-import type { Counts, Loss, MixFigures, MixOffer, MixProblem } from './mix.js'
+import type { InstanceCounts, Loss, MixFigures, MixOffer, MixProblem } from './mix.js'
 
 /** A mix and its figures. */
 export interface MixSolution {
-  readonly counts: Counts
+  readonly counts: InstanceCounts
   readonly figures: MixFigures
   /** Losses that the available capacity cannot fully survive. */
   readonly unsurvivable: readonly Loss[]
@@ -75,7 +75,7 @@
  * @example
  * const { counts } = amendMix(problem, presentCounts)
  */
-export function amendMix (problem: MixProblem, present: Counts): MixSolution {
+export function amendMix (problem: MixProblem, present: InstanceCounts): MixSolution {
   const { problem: possible, unsurvivable } = limitToFeasible(problem)
   const prepared = prepareProblem(possible)
   const draft = emptyDraft(prepared)
@@ -98,7 +98,7 @@
   }
 }
 
-function cheapestWithinBound (prepared: PreparedProblem): Counts {
+function cheapestWithinBound (prepared: PreparedProblem): InstanceCounts {
   const bound = prepared.problem.recomputedBound
   const unconstrained = descendFromAll(prepared, 0)
   if (recomputedOf(prepared, unconstrained.counts) <= bound) return unconstrained.counts
@@ -276,14 +276,14 @@
   return unitPrice(prepared, index, tokenPrice) / (prepared.capacity[index] ?? 1)
 }
 
-function objective (prepared: PreparedProblem, counts: Counts, tokenPrice: number): number {
+function objective (prepared: PreparedProblem, counts: InstanceCounts, tokenPrice: number): number {
   return counts.reduce((sum, count, index) => sum + count * unitPrice(prepared, index, tokenPrice), 0)
 }
 
-function costOf (prepared: PreparedProblem, counts: Counts): number {
+function costOf (prepared: PreparedProblem, counts: InstanceCounts): number {
   return objective(prepared, counts, 0)
 }
 
-function recomputedOf (prepared: PreparedProblem, counts: Counts): number {
+function recomputedOf (prepared: PreparedProblem, counts: InstanceCounts): number {
   return counts.reduce((sum, count, index) => sum + count * (prepared.recomputed[index] ?? 0), 0)
 }
--- a/src/capacity/mix.ts
+++ b/src/capacity/mix.ts
@@ -54,7 +54,7 @@
 }
 
 /** Number of instances of each offer, in the order of the problem's offers. */
-export type Counts = readonly number[]
+export type InstanceCounts = readonly number[]
 
 /** Figures of a mix. */
 export interface MixFigures {
@@ -100,7 +100,7 @@
  * @example
  * const { costPerHour, shortfall } = figuresOf(problem, [2, 2, 2])
  */
-export function figuresOf (problem: MixProblem, counts: Counts): MixFigures {
+export function figuresOf (problem: MixProblem, counts: InstanceCounts): MixFigures {
   return {
     costPerHour: costOf(problem, counts),
     recomputed: recomputedOf(problem, counts),
@@ -114,7 +114,7 @@
  * @example
  * costOf(problem, counts)
  */
-export function costOf (problem: MixProblem, counts: Counts): number {
+export function costOf (problem: MixProblem, counts: InstanceCounts): number {
   return problem.offers.reduce((sum, offer, index) => sum + offer.pricePerHour * (counts[index] ?? 0), 0)
 }
 
@@ -124,7 +124,7 @@
  * @example
  * recomputedOf(problem, counts)
  */
-export function recomputedOf (problem: MixProblem, counts: Counts): number {
+export function recomputedOf (problem: MixProblem, counts: InstanceCounts): number {
   if (problem.generatedPerHour <= 0) return 0
   const lostWork = problem.offers.reduce((sum, offer, index) => sum + offer.reclaimsPerHour * offer.capacity * (counts[index] ?? 0), 0)
   return THOUSAND * lostWork * problem.recomputedPerLostWork / problem.generatedPerHour
@@ -136,7 +136,7 @@
  * @example
  * shortfallOf(problem, counts) // 0 when every loss is survived
  */
-export function shortfallOf (problem: MixProblem, counts: Counts): number {
+export function shortfallOf (problem: MixProblem, counts: InstanceCounts): number {
   let worst = Math.max(0, problem.need - workAfterLoss(problem, counts, undefined))
   for (const loss of problem.losses) worst = Math.max(worst, (loss.need ?? problem.need) - workAfterLoss(problem, counts, loss))
   return worst
@@ -148,7 +148,7 @@
  * @example
  * const carried = workAfterWorstLoss(problem, counts)
  */
-export function workAfterWorstLoss (problem: MixProblem, counts: Counts): number {
+export function workAfterWorstLoss (problem: MixProblem, counts: InstanceCounts): number {
   return Math.min(workAfterLoss(problem, counts, undefined), ...problem.losses.map((loss) => workAfterLoss(problem, counts, loss)))
 }
 
@@ -178,7 +178,7 @@
   return loss.takes === 'everything' || offer.market === 'reclaimable'
 }
 
-function workAfterLoss (problem: MixProblem, counts: Counts, loss: Loss | undefined): number {
+function workAfterLoss (problem: MixProblem, counts: InstanceCounts, loss: Loss | undefined): number {
   let sum = fixedWorkAfterLoss(problem, loss)
   for (let index = 0; index < problem.offers.length; index += 1) {
     const offer = problem.offers[index]
--- a/src/capacity/replacement.ts
+++ b/src/capacity/replacement.ts
@@ -29,7 +29,7 @@
   readonly released: ReadonlySet<InstanceName>
   /** Names of instances that have ended according to the cloud. */
   readonly ended?: ReadonlySet<InstanceName>
-  /** Instances that the cloud lists but that have not responded for long enough to be replaced. */
+  /** Instances that the cloud lists but that have not answered for long enough to be replaced. */
   readonly silent?: ReadonlySet<InstanceName>
   /** Services for which nothing can be decided now. Their slots are left unchanged. */
   readonly undecided?: readonly ServiceName[]
--- a/src/capacity/service-problem.ts
+++ b/src/capacity/service-problem.ts
@@ -38,7 +38,7 @@
   readonly now: Milliseconds
 }
 
-/** Time from an order until the instance serves requests: start of the machine, loading of weights, first responses. */
+/** Time from an order until the instance serves requests: start of the machine, loading of weights, first answers. */
 export const REPLACEMENT_TIME: Milliseconds = 5 * MINUTE
 
 /** Time for which demand must be observed before a service may shrink. */
--- a/src/capacity/targets.ts
+++ b/src/capacity/targets.ts
@@ -20,7 +20,7 @@
 
 /** How the expected figures compare with the targets. */
 export interface TargetOutcome {
-  /** Expected cost of 1,000 responses divided by its target. Above 1 the target is exceeded. */
+  /** Expected cost of 1,000 answers divided by its target. Above 1 the target is exceeded. */
   readonly costRatio: number
   /** Expected recomputed tokens divided by their target. Above 1 the target is exceeded. */
   readonly recomputedRatio: number
@@ -45,7 +45,7 @@
 /**
  * Chooses the mixes of all services under the deployment's targets.
  *
- * @param answersPerHour expected responses within target per hour, over all services
+ * @param answersPerHour expected answers within target per hour, over all services
  * @example
  * const { solutions, outcome } = chooseMixes(problems, configuration.deployment.target, 36_000)
  */
--- a/src/capacity/types.ts
+++ b/src/capacity/types.ts
@@ -34,7 +34,7 @@
 })
 export type CloudInstance = z.infer<typeof cloudInstanceSchema>
 
-/** The cloud's response to a start order. A refusal is a normal response and not an error. */
+/** The cloud's answer to a start order. A refusal is a normal answer and not an error. */
 export const startAnswerSchema = z.discriminatedUnion('kind', [
   /** Started by this order, or by an earlier order with the same name. */
   z.object({ kind: z.literal('started'), instance: cloudInstanceSchema }),
@@ -51,7 +51,7 @@
   sequence: z.number().int().positive(),
   instance: instanceNameSchema,
   failureDomain: failureDomainSchema,
-  /** Milliseconds left when the cloud responded. It is a duration, so that clocks need not agree. */
+  /** Milliseconds left when the cloud answered. It is a duration, so that clocks need not agree. */
   remainingMs: z.number().nonnegative()
 })
 export type ReclaimNotice = z.infer<typeof reclaimNoticeSchema>
--- a/src/entry/agreement-peers.ts
+++ b/src/entry/agreement-peers.ts
@@ -1,5 +1,5 @@
 /** Calls to peers about configuration and membership, each with a timeout. */
-import { createTimeoutSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../timeout-signal.js'
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { Address } from '../identifiers.js'
--- a/src/entry/hand-over.ts
+++ b/src/entry/hand-over.ts
@@ -1,5 +1,5 @@
 /** Hands over the requests of a leaving node to its successors, and continues requests that other nodes hand over. */
-import { createTimeoutSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../timeout-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { Incarnation, RequestId } from '../identifiers.js'
--- a/src/entry/note-receiver.ts
+++ b/src/entry/note-receiver.ts
@@ -3,7 +3,7 @@
  *
  * If a node dies unannounced, its buddy resumes the existing streams and reports the outcome of the other requests.
  */
-import { createTimeoutSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../timeout-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import { every, SECOND } from '../clock.js'
 import type { Incarnation } from '../identifiers.js'
--- a/src/entry/notice-watcher.ts
+++ b/src/entry/notice-watcher.ts
@@ -3,7 +3,7 @@
  * domain poll the cloud. The other nodes receive notices from peers, from engines and, with the longest delay, from the
  * instance list.
  */
-import { createTimeoutSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../timeout-signal.js'
 import Emittery from 'emittery'
 import type { Clock, Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
--- a/src/entry/reclaim-controller.ts
+++ b/src/entry/reclaim-controller.ts
@@ -3,7 +3,7 @@
  * other or recomputed on another upstream. Idempotent streams that are still open just before the deadline are
  * recomputed.
  */
-import { createTimeoutSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../timeout-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { Configuration } from '../configuration/index.js'
--- a/src/entry/reclaim-coordinator.ts
+++ b/src/entry/reclaim-coordinator.ts
@@ -3,7 +3,7 @@
  * link, so a single node decides on their order. The nodes choose the coordinating node by its rank in their membership
  * view. The state here is kept in memory only and may be lost at any time.
  */
-import { createTimeoutSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../timeout-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import { every, SECOND } from '../clock.js'
 import type { Configuration } from '../configuration/index.js'
--- a/src/entry/relay.ts
+++ b/src/entry/relay.ts
@@ -1,5 +1,5 @@
 /** Reads answers from the nodes that hold them, for callers that are connected to this node. */
-import { createTimeoutSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../timeout-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { Address, ClassName, Incarnation, OrganisationName, RequestId } from '../identifiers.js'
--- a/src/entry/stopping.ts
+++ b/src/entry/stopping.ts
@@ -1,5 +1,5 @@
 /** Stop of a node that is planned, or that the platform announces with a deadline. */
-import { createTimeoutSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../timeout-signal.js'
 import type { Server } from 'node:http'
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
--- a/src/gateway/acceptance.ts
+++ b/src/gateway/acceptance.ts
@@ -48,7 +48,7 @@
  * @returns function that refunds the charge
  * @throws ServingError `organisation-limit`, `not-run`, with the time until the quota allows the request
  * @example
- * const giveBack = takeQuota(context, accepted)
+ * const refund = takeQuota(context, accepted)
  */
 export function takeQuota (context: GatewayContext, { head, organisation }: AcceptedRequest): () => void {
   if (organisation === undefined) return () => {}
--- a/src/gateway/attempt-records.ts
+++ b/src/gateway/attempt-records.ts
@@ -9,16 +9,16 @@
  * Records that a request is dispatched to the chosen upstream.
  *
  * @example
- * recordDispatch(context, passage, choice)
+ * recordDispatch(context, proxied, choice)
  */
-export function recordDispatch (context: GatewayContext, passage: ProxiedRequest, { upstream, reading, waiting, candidates }: Choice): void {
+export function recordDispatch (context: GatewayContext, proxied: ProxiedRequest, { upstream, reading: prefill, waiting, candidates }: Choice): void {
   const now = context.clock.now()
-  context.metrics.record('waiting', now - passage.arrival, { route: passage.accepted.route.name })
+  context.metrics.record('waiting', now - proxied.arrival, { route: proxied.accepted.route.name })
   context.log.info('request-sent', {
-    request: passage.accepted.head.id,
+    request: proxied.accepted.head.id,
     upstream: upstream.id,
-    send: passage.tried.size,
-    reading: Math.round(reading),
+    send: proxied.tried.size,
+    reading: Math.round(prefill),
     waiting: Math.round(waiting),
     candidates,
     tries: context.rollouts.roleOf(upstream) === 'tried' ? upstream.version : undefined,
@@ -30,12 +30,12 @@
  * Records that the upstream did not run an attempt.
  *
  * @example
- * recordNotRun(context, passage, upstream, 'full')
+ * recordNotRun(context, proxied, upstream, 'full')
  */
-export function recordNotRun (context: GatewayContext, passage: ProxiedRequest, upstream: UpstreamRecord, reason: NotRunReason): void {
+export function recordNotRun (context: GatewayContext, proxied: ProxiedRequest, upstream: UpstreamRecord, reason: NotRunReason): void {
   const { clock, upstreams, metrics, log } = context
   metrics.count('sends_not_run', { reason })
-  log.info('send-not-run', { request: passage.accepted.head.id, upstream: upstream.id, reason })
+  log.info('send-not-run', { request: proxied.accepted.head.id, upstream: upstream.id, reason })
   switch (reason) {
     case 'unreachable':
       pauseUpstream(context, upstream, reason)
@@ -55,18 +55,18 @@
  * Records that an attempt failed while it ran, or stopped sending.
  *
  * @example
- * recordBrokenAttempt(context, passage, upstream, 'other side closed')
+ * recordBrokenAttempt(context, proxied, upstream, 'other side closed')
  */
-export function recordBrokenAttempt (context: GatewayContext, passage: ProxiedRequest, upstream: UpstreamRecord, reason: string): void {
+export function recordBrokenAttempt (context: GatewayContext, proxied: ProxiedRequest, upstream: UpstreamRecord, reason: string): void {
   const now = context.clock.now()
   pauseUpstream(context, upstream, reason)
-  context.quarantine.broken(passage.fingerprint, now)
+  context.quarantine.broken(proxied.fingerprint, now)
   context.log.info('attempt-broken', {
-    request: passage.accepted.head.id,
+    request: proxied.accepted.head.id,
     upstream: upstream.id,
-    events: passage.progress.events,
-    attempts: passage.attempts,
-    after: Math.round(now - passage.arrival),
+    events: proxied.progress.events,
+    attempts: proxied.attempts,
+    after: Math.round(now - proxied.arrival),
     reason
   })
 }
@@ -75,11 +75,11 @@
  * Records that an upstream has answered completely.
  *
  * @example
- * recordCompleteAnswer(context, passage, upstream)
+ * recordCompleteAnswer(context, proxied, upstream)
  */
-export function recordCompleteAnswer (context: GatewayContext, passage: ProxiedRequest, upstream: UpstreamRecord): void {
+export function recordCompleteAnswer (context: GatewayContext, proxied: ProxiedRequest, upstream: UpstreamRecord): void {
   context.upstreams.health.answered(upstream.incarnation)
-  context.quarantine.answered(passage.fingerprint, context.clock.now())
+  context.quarantine.answered(proxied.fingerprint, context.clock.now())
 }
 
 /**
@@ -87,18 +87,18 @@
  * organisation, and logs an answer that starts after the route's target, with the load of the candidate upstreams.
  *
  * @example
- * recordAnswerStart(context, passage, upstream)
+ * recordAnswerStart(context, proxied, upstream)
  */
-export function recordAnswerStart (context: GatewayContext, passage: ProxiedRequest, upstream: UpstreamRecord): void {
-  const { organisation } = passage.accepted
-  if (!passage.usageCounted && organisation !== undefined) {
-    passage.usageCounted = true
+export function recordAnswerStart (context: GatewayContext, proxied: ProxiedRequest, upstream: UpstreamRecord): void {
+  const { organisation } = proxied.accepted
+  if (!proxied.usageCounted && organisation !== undefined) {
+    proxied.usageCounted = true
     context.usage.recordStart(organisation.name, context.sharedWall())
   }
-  const waited = context.clock.now() - passage.arrival
-  passage.timeToFirstAnswer ??= waited
-  context.metrics.record('first_answer', waited, { route: passage.accepted.route.name })
-  if (waited > passage.accepted.route.target) logLateAnswer(context, passage, upstream, waited)
+  const waited = context.clock.now() - proxied.arrival
+  proxied.timeToFirstAnswer ??= waited
+  context.metrics.record('first_answer', waited, { route: proxied.accepted.route.name })
+  if (waited > proxied.accepted.route.target) logLateAnswer(context, proxied, upstream, waited)
 }
 
 /** Counts a failure against the upstream's health. Logs only the start of a pause, not each further failure during the pause. */
@@ -108,9 +108,9 @@
   upstreams.health.failed(upstream.incarnation, now)
 }
 
-function logLateAnswer (context: GatewayContext, passage: ProxiedRequest, upstream: UpstreamRecord, waited: Milliseconds): void {
-  const { accepted } = passage
-  const candidates = context.upstreams.candidates(passage.service, new Set(), context.clock.now())
+function logLateAnswer (context: GatewayContext, proxied: ProxiedRequest, upstream: UpstreamRecord, waited: Milliseconds): void {
+  const { accepted } = proxied
+  const candidates = context.upstreams.candidates(proxied.service, new Set(), context.clock.now())
   context.log.info('answer-late', {
     request: accepted.head.id,
     route: accepted.route.name,
@@ -118,7 +118,7 @@
     failureDomain: upstream.failureDomain,
     target: accepted.route.target,
     waited: Math.round(waited),
-    sends: passage.tried.size,
+    sends: proxied.tried.size,
     promptTokens: accepted.head.tokens?.prompt,
     // Requests and milliseconds of prefill at each candidate. An asterisk marks the upstream that answers.
     loads: candidates.map(({ load, upstream: candidate }) => `${candidate.incarnation === upstream.incarnation ? '*' : ''}${load.requests}/${Math.round(load.reading)}`).join(' ')
--- a/src/gateway/attempt.ts
+++ b/src/gateway/attempt.ts
@@ -6,7 +6,7 @@
 import type { Verdict } from '../verdict.js'
 import type { AnswerOutcome } from './accounting.js'
 import type { GatewayContext } from './context.js'
-import type { Continuation, RunLocation, WatchedRun } from './evacuation.js'
+import type { RunContinuation, RunLocation, WatchedRun } from './evacuation.js'
 import type { ExchangeStart, UpstreamAnswer } from './exchange.js'
 import { recordAnswerStart, recordBrokenAttempt, recordDispatch, recordNotRun, recordCompleteAnswer } from './attempt-records.js'
 import { abortFailure, mayRetry, undispatchedFailure } from './proxied-request.js'
@@ -19,14 +19,14 @@
 import type { InFlightRequest } from './upstream-view.js'
 
 /** Result of an attempt. */
-export type AttemptResult =
+export type DispatchResult =
   | { readonly kind: 'done', readonly outcome: AnswerOutcome }
   /** The attempt was not answered. `verdict` states whether it may have run. */
   | { readonly kind: 'again', readonly verdict: Verdict, readonly failure: ServingError }
   /** The attempt timed out or the upstream answered with a server error. A further attempt has already been granted. */
   | { readonly kind: 'granted' }
   /** The upstream is leaving, and the run continues at another one. */
-  | { readonly kind: 'moved', readonly continuation: Continuation }
+  | { readonly kind: 'moved', readonly continuation: RunContinuation }
 
 /** State of one attempt. */
 interface Attempt {
@@ -74,7 +74,7 @@
  * @example
  * const result = await dispatchAttempt(context, proxied, choice)
  */
-export async function dispatchAttempt (context: GatewayContext, proxied: ProxiedRequest, choice: Choice, memory?: string): Promise<AttemptResult> {
+export async function dispatchAttempt (context: GatewayContext, proxied: ProxiedRequest, choice: Choice, memory?: string): Promise<DispatchResult> {
   const attempt = beginAttempt(context, proxied, choice, memory)
   recordDispatch(context, proxied, choice)
   proxied.attempts += 1
@@ -90,12 +90,12 @@
 }
 
 function beginAttempt (context: GatewayContext, proxied: ProxiedRequest, choice: Choice, memory: string | undefined): Attempt {
-  const { upstream, reading, waiting } = choice
+  const { upstream, reading: prefill, waiting } = choice
   const controller = new AbortController()
   const comparison = memory === undefined ? context.rollouts.begin(proxied.accepted.route.name, upstream) : undefined
-  const open = context.upstreams.begin(upstream.incarnation, reading, context.clock.now())
-  if (reading >= LONG_PREFILL) context.announcePrefill(upstream.incarnation, reading)
-  const watchdog = startWatchdog(context.clock, firstAnswerTimeout(proxied.accepted.route, waiting + reading, context.speeds.of(proxied.service).base), () => {
+  const open = context.upstreams.begin(upstream.incarnation, prefill, context.clock.now())
+  if (prefill >= LONG_PREFILL) context.announcePrefill(upstream.incarnation, prefill)
+  const watchdog = startWatchdog(context.clock, firstAnswerTimeout(proxied.accepted.route, waiting + prefill, context.speeds.of(proxied.service).base), () => {
     if (mayRetry(context, proxied, 'may-have-run')) controller.abort()
   })
   return {
@@ -126,11 +126,11 @@
  * Predicts the time to the answer. A newly started engine of the version being tried has no cached prompts, so its
  * whole prompt counts; a missing cache must not be held against the version.
  */
-function expectedTime ({ speeds }: GatewayContext, { service, accepted }: ProxiedRequest, { reading, waiting }: Choice, { side }: VersionObservation): Milliseconds {
+function expectedTime ({ speeds }: GatewayContext, { service, accepted }: ProxiedRequest, { reading: prefill, waiting }: Choice, { side }: VersionObservation): Milliseconds {
   const { tokens } = accepted.head
   if (tokens === undefined) return 0
   const speed = speeds.of(service)
-  return speed.base + waiting + (side === 'tried' ? prefillTime(tokens.prompt, 0, speed) : reading)
+  return speed.base + waiting + (side === 'tried' ? prefillTime(tokens.prompt, 0, speed) : prefill)
 }
 
 /** Reports the time to the complete answer, or to the first event of a stream, to the comparison of versions. */
@@ -173,7 +173,7 @@
   }
 }
 
-async function handleExchangeStart (context: GatewayContext, proxied: ProxiedRequest, attempt: Attempt, started: ExchangeStart): Promise<AttemptResult> {
+async function handleExchangeStart (context: GatewayContext, proxied: ProxiedRequest, attempt: Attempt, started: ExchangeStart): Promise<DispatchResult> {
   switch (started.kind) {
     case 'answered': {
       const isStream = proxied.accepted.route.kind === 'stream' && started.answer.status === SUCCESS
@@ -191,7 +191,7 @@
   }
 }
 
-function handleBrokenAttempt (context: GatewayContext, proxied: ProxiedRequest, attempt: Attempt, reason: string): AttemptResult {
+function handleBrokenAttempt (context: GatewayContext, proxied: ProxiedRequest, attempt: Attempt, reason: string): DispatchResult {
   // A caller that disconnects says nothing about the upstream. An answer that did not arrive in time does.
   if (!proxied.signal.aborted || proxied.signal.reason === ('time-limit' satisfies AbortReason)) attempt.comparison?.interrupted()
   if (proxied.signal.aborted) throw abortFailure(proxied)
@@ -200,7 +200,7 @@
   return { kind: 'again', verdict: 'may-have-run', failure: new ServingError(reason, { code: 'connection-lost', verdict: 'may-have-run' }) }
 }
 
-async function relayStream (context: GatewayContext, proxied: ProxiedRequest, attempt: Attempt, answer: UpstreamAnswer): Promise<AttemptResult> {
+async function relayStream (context: GatewayContext, proxied: ProxiedRequest, attempt: Attempt, answer: UpstreamAnswer): Promise<DispatchResult> {
   const { response, progress } = proxied
   let events = 0
   const end = await relayEvents(answer, response, progress, (count) => {
@@ -225,7 +225,7 @@
 }
 
 /** Reads the whole answer before relaying it, so that a truncated answer can be retried or reported as a failure. */
-async function relayBufferedAnswer (context: GatewayContext, proxied: ProxiedRequest, attempt: Attempt, answer: UpstreamAnswer): Promise<AttemptResult> {
+async function relayBufferedAnswer (context: GatewayContext, proxied: ProxiedRequest, attempt: Attempt, answer: UpstreamAnswer): Promise<DispatchResult> {
   const { response } = proxied
   let body: Buffer
   try {
--- a/src/gateway/backpressure.ts
+++ b/src/gateway/backpressure.ts
@@ -17,9 +17,9 @@
   /** Processes the signals in an upstream's answer to a request sent at `sentAt`. */
   heard (upstream: UpstreamRecord, signals: UpstreamSignals, sentAt: Milliseconds): void
   /** Records that a request of this node is sent to the upstream. */
-  taken (life: UpstreamIncarnation, now: Milliseconds): void
+  taken (incarnation: UpstreamIncarnation, now: Milliseconds): void
   /** Returns the time until the upstream accepts a request of this node; 0 if it does now. */
-  wait (life: UpstreamIncarnation, now: Milliseconds): Milliseconds
+  wait (incarnation: UpstreamIncarnation, now: Milliseconds): Milliseconds
   /** Returns the report for the other nodes. */
   told (): BackpressureReport
   /** Processes the reports of the other nodes. */
@@ -48,7 +48,7 @@
  *
  * @example
  * const backpressure = createBackpressure({ node: settings.name, clock, log, upstreams: () => upstreams })
- * backpressure.accepts(upstream.life, clock.now())
+ * backpressure.accepts(upstream.incarnation, clock.now())
  */
 export function createBackpressure ({ node, clock, log, upstreams }: BackpressureOptions): Backpressure {
   const limits = createRateLimits(node)
@@ -56,16 +56,16 @@
   const pauses = createRequestedPauses()
 
   function logLimits (changes: readonly RateLimitChange[], source: SignalSource | 'shares'): void {
-    for (const { incarnation: life, limit: pace } of changes) {
-      const record = upstreams().find(life)
+    for (const { incarnation, limit } of changes) {
+      const record = upstreams().find(incarnation)
       if (record === undefined) continue
-      log.info('upstream-limit', { upstream: record.id, service: record.service, rate: pace?.rate, pause: pace?.pause === undefined ? undefined : Math.round(pace.pause), source })
+      log.info('upstream-limit', { upstream: record.id, service: record.service, rate: limit?.rate, pause: limit?.pause === undefined ? undefined : Math.round(limit.pause), source })
     }
   }
 
-  function markLeaving (life: UpstreamIncarnation, source: SignalSource): void {
-    const record = upstreams().find(life)
-    if (record === undefined || !upstreams().noteLeaving(life)) return
+  function markLeaving (incarnation: UpstreamIncarnation, source: SignalSource): void {
+    const record = upstreams().find(incarnation)
+    if (record === undefined || !upstreams().noteLeaving(incarnation)) return
     log.info('upstream-says-leaving', { upstream: record.id, service: record.service, source })
   }
 
@@ -83,13 +83,13 @@
       if (signals.retryAfter !== undefined) recordPause(upstream, signals.retryAfter, now)
     },
     isLeaving: departures.isLeaving,
-    accepts: (life, now) => limits.allows(life, now) && pauses.wait(life, now) === 0,
+    accepts: (incarnation, now) => limits.allows(incarnation, now) && pauses.wait(incarnation, now) === 0,
     taken: limits.taken,
-    wait: (life, now) => Math.max(limits.wait(life, now), pauses.wait(life, now)),
+    wait: (incarnation, now) => Math.max(limits.wait(incarnation, now), pauses.wait(incarnation, now)),
     told: () => ({ limits: limits.told(clock.now()), departures: departures.told(clock.now()) }),
     observe: (others) => {
       logLimits(limits.observe(others.map((report) => report.limits), clock.now()), 'peer')
-      for (const life of departures.observe(others.map((report) => report.departures))) markLeaving(life, 'peer')
+      for (const incarnation of departures.observe(others.map((report) => report.departures))) markLeaving(incarnation, 'peer')
     },
     setNodes: (nodes) => logLimits(limits.setNodes(nodes, clock.now()), 'shares'),
     limitedUpstreams: () => limits.all().length
--- a/src/gateway/configuration-watcher.ts
+++ b/src/gateway/configuration-watcher.ts
@@ -10,7 +10,7 @@
 export interface ConfigurationWatcher {
   /** Routes of the configuration in force; undefined before the first configuration. */
   table (): RouteTable | undefined
-  /** Text of the configuration in force, for peers that can't reach the store. */
+  /** Text of the configuration in force, for peers that cannot reach the store. */
   text (): string | undefined
   /** Puts a configuration into force if its version is higher than the present one. @param source peer address, or `store` */
   offer (text: string, source: string): void
@@ -24,7 +24,7 @@
  * @param onChange called with each version that comes into force
  * @param otherHandler receives the operator's other entries. One watch for the whole prefix needs one call instead of several
  * @example
- * const watcher = createConfigurationWatcher(context, platform.registry, 2 * SECOND, (configuration) => limitCallers(server, configuration.limits), orders)
+ * const watcher = createConfigurationWatcher(context, platform.registry, 2 * SECOND, (configuration) => applyCallerLimits(server, configuration.limits), orders)
  */
 export function createConfigurationWatcher (context: StoreContext, registry: Registry, maxDelay: Milliseconds, onChange: (configuration: RoutingConfiguration) => void, otherHandler: PrefixHandler): ConfigurationWatcher {
   const { log } = context
--- a/src/gateway/duties.ts
+++ b/src/gateway/duties.ts
@@ -26,7 +26,7 @@
   readonly upstreams: UpstreamView
   readonly speeds: EngineSpeeds
   /** Whether regular traffic is routed to this upstream's version. */
-  readonly carries: (upstream: UpstreamRecord) => boolean
+  readonly carriesTraffic: (upstream: UpstreamRecord) => boolean
   readonly table: () => RouteTable | undefined
 }
 
@@ -42,7 +42,7 @@
  * Starts the usage reports and the scaling orders that the settings enable.
  *
  * @example
- * const duties = startDuties({ context, settings, incarnation, calls, holder, fleet, usage, work, upstreams, speeds, carries, table })
+ * const duties = startDuties({ context, settings, incarnation, calls, holder, fleet, usage, work, upstreams, speeds, carriesTraffic, table })
  */
 export function startDuties (options: DutiesOptions): Duties {
   const { context, settings, calls, holder, fleet, incarnation } = options
@@ -70,7 +70,7 @@
       table: options.table,
       upstreams: options.upstreams,
       speeds: options.speeds,
-      carriesTraffic: options.carries,
+      carriesTraffic: options.carriesTraffic,
       duty: holder,
       calls,
       work: () => sumWork([options.work.rates(context.clock.now()), ...fleet.others().map((report) => report.work)])
--- a/src/gateway/duty-holder.ts
+++ b/src/gateway/duty-holder.ts
@@ -24,7 +24,7 @@
   recordCall (): void
   /** Tries to acquire the lease soon. To be called when the key of the lease has been deleted or may never have existed. */
   onLeaseDeleted (): void
-  /** Gives up the lease, so that another node needn't wait until it expires. */
+  /** Gives up the lease, so that another node need not wait until it expires. */
   release (): Promise<void>
 }
 
@@ -91,7 +91,7 @@
     return fencing === 0 ? Math.max(0, restoredAt + leaseTime * FORMER_HOLDER_FRACTION - clock.now()) : 0
   }
 
-  /** Tries to acquire the free lease after a random delay, so that the nodes don't call at the same time. */
+  /** Tries to acquire the free lease after a random delay, so that the nodes do not call at the same time. */
   function acquireAfterDelay (): void {
     clock.sleep(acquireDelay() + random.fraction() * ACQUIRE_JITTER, signal).then(lease.refresh).catch(() => {})
   }
--- a/src/gateway/evacuation.ts
+++ b/src/gateway/evacuation.ts
@@ -12,7 +12,7 @@
 import type { EngineCalls, MoveOutcome } from './ports.js'
 
 /** Upstream at which a run continues. */
-export interface Continuation {
+export interface RunContinuation {
   readonly upstream: UpstreamRecord
   /** Reference to the copy of the run's memory. */
   readonly reference: string
@@ -21,7 +21,7 @@
 /** Location of a run after its stream has ended. */
 export type RunLocation =
   | { readonly kind: 'same' }
-  | { readonly kind: 'moved', readonly continuation: Continuation }
+  | { readonly kind: 'moved', readonly continuation: RunContinuation }
   /** A move was ordered, but the order was not answered. */
   | { readonly kind: 'unknown' }
 
--- a/src/gateway/fleet.ts
+++ b/src/gateway/fleet.ts
@@ -105,7 +105,7 @@
 /**
  * Starts the peer server, registers this node in the store, and starts exchanging states or reporting to an aggregator.
  *
- * @throws when the peer server can't listen on its address
+ * @throws when the peer server cannot listen on its address
  * @example
  * const fleet = await joinFleet({ context, self, listen, configuration, maxAddresses, isReady, report, heard, reading, onRecordsLoaded, onOtherKeyDeleted })
  */
@@ -205,7 +205,7 @@
     return new Map(received === undefined ? [] : [['others', received.inFlight]])
   }
 
-  /** Includes registered nodes unless their state says that they aren't ready, and unregistered nodes only if their state says that they are. */
+  /** Includes registered nodes unless their state says that they are not ready, and unregistered nodes only if their state says that they are. */
   function addresses (caller: string): readonly string[] {
     const states = new Map(directlyReceivedStates().map((state) => [state.name, state]))
     const known = new Map<string, ReachableNode>(records.all().filter(({ name }) => name !== self.name && states.get(name)?.ready !== false).map((record) => [record.name, record]))
--- a/src/gateway/follow.ts
+++ b/src/gateway/follow.ts
@@ -35,8 +35,8 @@
   lastContactAt (): Milliseconds | undefined
 }
 
-/** Pauses for prefixes whose changes must be in force within two seconds, also after an outage of the store. */
-const PROMPT_PAUSES: WatchIntervals = { startDelay: 0, initialRetryDelay: 100, maxRetryDelay: 800, batchInterval: 0, roleCheckInterval: 200 }
+/** Intervals of a watch whose changes must be in force within two seconds, also after an outage of the store. */
+const LOW_DELAY_INTERVALS: WatchIntervals = { startDelay: 0, initialRetryDelay: 100, maxRetryDelay: 800, batchInterval: 0, roleCheckInterval: 200 }
 
 /** Maximum silence of a watch that other nodes depend on, as a fraction of the time within which a change must be known. */
 const SHARED_WATCH_SILENCE_FRACTION = 0.35
@@ -45,12 +45,12 @@
 const SHARED_WATCH_BATCH_FRACTION = 0.1
 
 /**
- * Pauses after failed reads at a node that receives updates from an aggregator. Failure guarded against: during an outage
- * of the store, hundreds of nodes call it once a second each, and every call is charged for. Longer pauses cost little:
- * if only the aggregator is cut off, the node's first read succeeds; if the store is down for all, the aggregators
- * reconnect first and pass the updates on.
+ * Delays between retries of failed reads at a node that receives updates from an aggregator. Failure guarded against:
+ * during an outage of the store, hundreds of nodes call it once a second each, and every call is charged for. Longer delays
+ * cost little: if only the aggregator is cut off, the node's first read succeeds; if the store is down for all, the
+ * aggregators reconnect first and pass the updates on.
  */
-const RECEIVER_PAUSES = { initialRetryDelay: 400, maxRetryDelay: 3_200 }
+const RECEIVER_RETRY_DELAYS = { initialRetryDelay: 400, maxRetryDelay: 3_200 }
 
 /**
  * Maximum age of received updates before a node reads the store itself, as a fraction of the time within which a change must
@@ -61,7 +61,7 @@
 
 /** How often a prefix is read, and how old received updates may be. */
 export interface SubscriptionSettings {
-  /** Pauses of the watch, by this node's role in the exchange of updates. */
+  /** Intervals of the watch, by this node's role in the exchange of updates. */
   readonly pauses: (role: StoreReadRole) => WatchIntervals
   /** Maximum age of received updates before this node reads the store itself. */
   readonly maxAge: Milliseconds
@@ -76,9 +76,9 @@
  * boundedDelaySettings(4 * SECOND, 0)
  */
 export function boundedDelaySettings (maxDelay: Milliseconds, batch: Milliseconds): SubscriptionSettings {
-  const alone: WatchIntervals = { ...PROMPT_PAUSES, batchInterval: batch }
-  const telling: WatchIntervals = { ...PROMPT_PAUSES, idleTimeout: maxDelay * SHARED_WATCH_SILENCE_FRACTION, batchInterval: maxDelay * SHARED_WATCH_BATCH_FRACTION }
-  const told: WatchIntervals = { ...alone, ...RECEIVER_PAUSES }
+  const alone: WatchIntervals = { ...LOW_DELAY_INTERVALS, batchInterval: batch }
+  const telling: WatchIntervals = { ...LOW_DELAY_INTERVALS, idleTimeout: maxDelay * SHARED_WATCH_SILENCE_FRACTION, batchInterval: maxDelay * SHARED_WATCH_BATCH_FRACTION }
+  const told: WatchIntervals = { ...alone, ...RECEIVER_RETRY_DELAYS }
   return { pauses: (role) => ({ telling, told, alone })[role], maxAge: maxDelay * MAX_AGE_FRACTION }
 }
 
@@ -96,7 +96,7 @@
  * and a watch that receives nothing more therefore delays nothing. Every reopening of a watch is a call that is charged for.
  */
 export const NODE_RECORD_SETTINGS: SubscriptionSettings = {
-  pauses: (role) => ({ ...PROMPT_PAUSES, idleTimeout: RECORD_WATCH_SILENCE, batchInterval: role === 'telling' ? RECORD_WATCH_BATCH : 0 }),
+  pauses: (role) => ({ ...LOW_DELAY_INTERVALS, idleTimeout: RECORD_WATCH_SILENCE, batchInterval: role === 'telling' ? RECORD_WATCH_BATCH : 0 }),
   maxAge: MAX_RECORD_AGE
 }
 
@@ -105,7 +105,7 @@
  *
  * @param prefix of the keys
  * @param handler receives the entries and their changes
- * @param settings pauses of the watch and the maximum age of received updates
+ * @param settings intervals of the watch and the maximum age of received updates
  * @example
  * followPrefix(context, 'servers/', { replace, put, remove }, boundedDelaySettings(2 * SECOND, 0))
  */
--- a/src/gateway/forwarding.ts
+++ b/src/gateway/forwarding.ts
@@ -15,7 +15,7 @@
 import type { AnswerOutcome, CallerRequest, RequestEnd } from './accounting.js'
 import { answerFailure } from './answering.js'
 import type { GatewayContext } from './context.js'
-import type { Continuation } from './evacuation.js'
+import type { RunContinuation } from './evacuation.js'
 import { fingerprintOf } from './fingerprint.js'
 import { abortFailure, mayRetry, NO_UPSTREAM_RETRY_AFTER, undispatchedFailure } from './proxied-request.js'
 import type { ProxiedRequest } from './proxied-request.js'
@@ -100,7 +100,7 @@
  * @throws ServingError when no attempt was answered
  */
 async function dispatchUntilDone (context: GatewayContext, proxied: ProxiedRequest): Promise<AnswerOutcome> {
-  let continuation: Continuation | undefined
+  let continuation: RunContinuation | undefined
   for (;;) {
     const choice = continuation === undefined ? await waitForUpstream(context, proxied) : continuationChoice(continuation)
     proxied.tried.add(choice.upstream.incarnation)
@@ -119,7 +119,7 @@
 }
 
 /** Choice of the upstream to which a run was moved. No prefill is needed because the run's memory is already there. */
-function continuationChoice ({ upstream }: Continuation): Choice {
+function continuationChoice ({ upstream }: RunContinuation): Choice {
   return { upstream, reading: 0, cached: 0, waiting: 0, candidates: 1 }
 }
 
@@ -149,7 +149,7 @@
  * otherwise 0. A request that cannot be sent in time is refused at once, with this time as its `Retry-After`.
  */
 function backpressureWait ({ clock, upstreams, backpressure }: GatewayContext, { service, tried }: ProxiedRequest): Milliseconds {
-  const waits = upstreams.notLeaving(service, tried).map(({ incarnation: life }) => backpressure.wait(life, clock.now()))
+  const waits = upstreams.notLeaving(service, tried).map(({ incarnation }) => backpressure.wait(incarnation, clock.now()))
   return waits.length === 0 ? 0 : Math.min(...waits)
 }
 
@@ -170,13 +170,13 @@
 function tryChooseUpstream (context: GatewayContext, proxied: ProxiedRequest): Choice | undefined {
   const now = context.clock.now()
   const { head, route } = proxied.accepted
-  const work: PlacementRequest = { service: proxied.service, parts: head.parts, promptTokens: head.tokens?.prompt ?? 0, target: route.target, lostOnReclaim: route.kind === 'stream' && !route.resumable }
+  const placementRequest: PlacementRequest = { service: proxied.service, parts: head.parts, promptTokens: head.tokens?.prompt ?? 0, target: route.target, lostOnReclaim: route.kind === 'stream' && !route.resumable }
   const hasEngines = context.routeTable()?.service(proxied.service)?.hasEngines === true
   proxied.side ??= context.rollouts.side(proxied.service)
   // A request that failed at the version being rolled out is retried at the version that already serves.
   const side = proxied.tried.size === 0 ? proxied.side : 'serving'
   const candidates = context.upstreams.candidates(proxied.service, proxied.tried, now, (present) => context.rollouts.admit(proxied.service, side, present))
-  const choice = chooseUpstream(work, candidates, context.settings, hasEngines ? ENGINE_COSTS : PLAIN_COSTS, context.speeds.of(proxied.service))
+  const choice = chooseUpstream(placementRequest, candidates, context.settings, hasEngines ? ENGINE_COSTS : PLAIN_COSTS, context.speeds.of(proxied.service))
   if (choice !== undefined) context.backpressure.taken(choice.upstream.incarnation, now)
   return choice
 }
--- a/src/gateway/gossip-exchange.ts
+++ b/src/gateway/gossip-exchange.ts
@@ -1,5 +1,5 @@
 /** Push-pull gossip of node states between aggregators, and answers to the reports of members. */
-import { createTimeoutSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../timeout-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import { createGossipTable, gossipMessageSchema, mergeReports } from '../gossip/index.js'
 import type { AggregatorAnswer, FleetReport, GossipMessage, GossipTable, MemberMessage, StoreUpdate, NodeState, SharedWallClock } from '../gossip/index.js'
@@ -56,7 +56,7 @@
   announcePrefill (upstream: UpstreamIncarnation, prefill: Milliseconds, aggregator: string | undefined): void
   /** Forwards a notice of another node to the nodes that `passTo` names. */
   forwardPrefillNotice (notice: PrefillNotice): void
-  /** Exchanges states with some peers at once, for a change that can't wait for the next period. */
+  /** Exchanges states with some peers at once, for a change that cannot wait for the next period. */
   exchangeUrgently (): void
 }
 
@@ -125,7 +125,7 @@
     }
   }
 
-  /** Brings new versions to a node that can't read the store. */
+  /** Brings new versions to a node that cannot read the store. */
   async function fetchConfiguration (address: string, peerVersion: number, timeoutSignal: AbortSignal): Promise<void> {
     if (peerVersion <= options.ownConfiguration()) return
     const { text } = await link(address).configuration.query(undefined, { signal: timeoutSignal })
--- a/src/gateway/metrics.ts
+++ b/src/gateway/metrics.ts
@@ -28,7 +28,7 @@
 /** Maximum number of durations that are kept until the histogram library is loaded. */
 const MAX_PENDING = 2_000
 
-/** Maximum number of series of a kind. Further ones are summed up without labels, so that a hostile caller can't exhaust the memory. */
+/** Maximum number of series of a kind. Further ones are summed up without labels, so that a hostile caller cannot exhaust the memory. */
 const MAX_SERIES = 500
 
 /**
--- a/src/gateway/node-metrics.ts
+++ b/src/gateway/node-metrics.ts
@@ -31,7 +31,7 @@
   readonly holdsDuties: () => boolean
 }
 
-/** Period at which request sums are logged and the delay of the event loop is measured. A run of 90 s gives 45 points. */
+/** Period at which request sums are logged and the delay of the event loop is measured. This gives 45 points in 90 s. */
 const PERIOD: Milliseconds = 2_000
 
 /**
--- a/src/gateway/node.ts
+++ b/src/gateway/node.ts
@@ -93,7 +93,7 @@
 /**
  * Starts a node: listens on its addresses, joins the other nodes and follows the store.
  *
- * @throws if the node can't listen on one of its addresses
+ * @throws if the node cannot listen on one of its addresses
  * @example
  * const node = await startGatewayNode({ settings, platform, clock, random, log })
  */
@@ -104,8 +104,8 @@
   const shutdown = new AbortController()
   // Each call to the store and each sleep adds a listener. Node.js warns of a leak at more than ten by default.
   setMaxListeners(0, shutdown.signal)
-  const relay = createStoreUpdateExchange(clock)
-  const followContext: StoreContext & { readonly storeUpdates: StoreUpdateExchange } = { store: platform.store, clock, random, log, signal: shutdown.signal, storeUpdates: relay }
+  const storeUpdates = createStoreUpdateExchange(clock)
+  const followContext: StoreContext & { readonly storeUpdates: StoreUpdateExchange } = { store: platform.store, clock, random, log, signal: shutdown.signal, storeUpdates }
   platform.store.epochs.onRestore((restore) => log.warn('store-restored', { ...restore }))
   const metrics = createGatewayMetrics()
   const backpressure = createBackpressure({ node: settings.name, clock, log, upstreams: () => upstreams })
@@ -136,7 +136,7 @@
   const front = await listenAt(server, settings.front)
 
   const rolloutRecords = watchRolloutRecords(followContext, platform.registry.rollouts, bounds.configurationApplies, (service) => rollouts.changed(service))
-  const configuration = createConfigurationWatcher(followContext, platform.registry, bounds.configurationApplies, applyLimits, rolloutRecords.follower)
+  const configuration = createConfigurationWatcher(followContext, platform.registry, bounds.configurationApplies, applyLimits, rolloutRecords.handler)
   const rollouts = createRollouts({ clock, random, log, bounds: bounds.rollout, records: rolloutRecords, nodes: () => fleet.maxNodeCount(), ordersReceivedAt: configuration.subscription.lastContactAt })
   const holder: DutyHolder = createDutyHolder({ context: followContext, node: settings.name, incarnation, leaseTime: bounds.lease, firstStart: settings.firstStart, isCandidate: () => context !== undefined && !fleet.isMember() })
   const servers: Server[] = [server]
@@ -152,7 +152,7 @@
     isReady,
     report,
     heard: applyReports,
-    reading: (note) => upstreams.notePrefill(note.from, note.upstream, note.reading, clock.now()),
+    reading: (notice) => upstreams.notePrefill(notice.from, notice.upstream, notice.reading, clock.now()),
     onRecordsLoaded: () => applyShares(),
     onOtherKeyDeleted: (key) => { if (key === DUTY_KEY) holder.onLeaseDeleted() }
   })
@@ -196,8 +196,8 @@
     freshness: sources,
     stop: () => stopping
   }
-  const upstreamsFollowing = watchUpstreams(followContext, platform.registry, upstreams, connections, bounds.upstreamDrain, evacuation.leaving)
-  const duties = platform.duties && startDuties({ context: followContext, settings, incarnation, calls: platform.duties, holder, fleet, usage, work, upstreams, speeds, carries: rollouts.carriesTraffic, table: configuration.table })
+  const upstreamsSubscription = watchUpstreams(followContext, platform.registry, upstreams, connections, bounds.upstreamDrain, evacuation.leaving)
+  const duties = platform.duties && startDuties({ context: followContext, settings, incarnation, calls: platform.duties, holder, fleet, usage, work, upstreams, speeds, carriesTraffic: rollouts.carriesTraffic, table: configuration.table })
 
   startRolloutDuty({ context: followContext, registry: platform.registry.rollouts, bounds: bounds.rollout, records: rolloutRecords, rollouts, upstreams, fleet, duty: holder })
 
@@ -227,13 +227,13 @@
     return {
       configuration: configuration.table()?.configuration.version,
       configurationAge: ageOf(configuration.subscription),
-      upstreamsAge: ageOf(upstreamsFollowing),
+      upstreamsAge: ageOf(upstreamsSubscription),
       nodes: fleet.maxNodeCount()
     }
   }
 
-  function ageOf (following: PrefixSubscription): Milliseconds | undefined {
-    const receivedAt = following.lastContactAt()
+  function ageOf (subscription: PrefixSubscription): Milliseconds | undefined {
+    const receivedAt = subscription.lastContactAt()
     return receivedAt === undefined ? undefined : Math.round(clock.now() - receivedAt)
   }
 
@@ -300,8 +300,8 @@
 
   /** Limits the connections to each upstream to this node's share of what the upstream accepts. */
   function limitConnections (): void {
-    for (const { name, maxConnections: mostConnections } of configuration.table()?.configuration.services ?? []) {
-      connections.setConnectionLimit(name, Math.max(1, Math.floor(mostConnections * CONNECTION_FRACTION / Math.max(MIN_ASSUMED_NODES, sharedAmong))))
+    for (const { name, maxConnections } of configuration.table()?.configuration.services ?? []) {
+      connections.setConnectionLimit(name, Math.max(1, Math.floor(maxConnections * CONNECTION_FRACTION / Math.max(MIN_ASSUMED_NODES, sharedAmong))))
     }
   }
 
--- a/src/gateway/ports.ts
+++ b/src/gateway/ports.ts
@@ -75,12 +75,12 @@
 
 /** Reads and writes roll-out orders and the system's statuses in answer to them. */
 export interface RolloutRegistry {
-  /** @returns undefined if the key names no order; an error if the value can't be parsed */
+  /** @returns undefined if the key names no order; an error if the value cannot be parsed */
   readOrder (key: string, value: string, revision: number): RolloutOrder | Error | undefined
   /** Key prefix of the statuses, which only the system writes. */
   readonly statusPrefix: string
   statusKey (service: string): string
-  /** @returns undefined if the value can't be parsed */
+  /** @returns undefined if the value cannot be parsed */
   readStatus (service: string, value: string): RolloutStatus | undefined
   writeStatus (status: RolloutStatus): string
 }
@@ -90,7 +90,7 @@
   /** Key prefix of everything that the operator writes. */
   readonly operatorPrefix: string
   readonly configurationKey: string
-  /** @throws if the value can't be parsed or is no valid configuration */
+  /** @throws if the value cannot be parsed or is no valid configuration */
   readConfiguration (value: string): RoutingConfiguration
   readonly rollouts: RolloutRegistry
   readonly upstreamPrefix: string
--- a/src/gateway/reporting.ts
+++ b/src/gateway/reporting.ts
@@ -1,5 +1,5 @@
 /** Reports of a member: sends its state to an aggregator and receives the sums of the other nodes and store updates. */
-import { createTimeoutSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../timeout-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import { aggregatorAnswerSchema, LIVENESS_TIMEOUT } from '../gossip/index.js'
 import type { AggregatorAnswer, FleetReport, MemberMessage, SharedWallClock } from '../gossip/index.js'
@@ -29,7 +29,7 @@
 export interface MemberReporter {
   /** Reports to the aggregators in turn until one answers. @returns the address of the one that answered; undefined if none did */
   report (aggregators: readonly string[]): Promise<string | undefined>
-  /** Whether an aggregator has answered recently, so that this node needn't act as an aggregator. */
+  /** Whether an aggregator has answered recently, so that this node need not act as an aggregator. */
   hasAggregator (): boolean
   /** Sums of all other nodes from the last answer; undefined if there was no recent answer or no other node. */
   others (): FleetReport | undefined
@@ -47,7 +47,7 @@
  */
 const MAX_REPORT_ATTEMPTS = 3
 
-/** Time for which an aggregator that didn't answer is avoided: the time that the record of a dead node remains in the store. */
+/** Time for which an aggregator that did not answer is avoided: the time that the record of a dead node remains in the store. */
 const AVOIDANCE_TIME: Milliseconds = 6_000
 
 /** Time without an answer after which a member acts as an aggregator: three report periods, so that one slow or failed report has no effect. */
--- a/src/gateway/response-watchdog.ts
+++ b/src/gateway/response-watchdog.ts
@@ -20,9 +20,9 @@
 
 /**
  * Share of the target, after the duration of a second attempt has been deducted, that the first attempt may take. The
- * remainder covers prompts that wait at the second upstream. A timeout of 0.3 of the target duplicated streams that
- * were only queued behind other prompts when engines were few, and the duplicates delayed the others: the mean score
- * of four simulated days, without processor costs, was 0.511 instead of 0.523.
+ * remainder covers prompts that wait at the second upstream. With few engines, a timeout of 0.3 of the target duplicates
+ * streams that are only queued behind other prompts, and the duplicates delay the others. Over four simulated days this lowers
+ * the mean score from 0.523 to 0.511 (processor costs not included).
  */
 const RETRY_FRACTION = 0.7
 
--- a/src/gateway/rollout-duty.ts
+++ b/src/gateway/rollout-duty.ts
@@ -68,7 +68,7 @@
     const loadsByNode = [upstreams.inFlight(clock.now()), ...fleet.loads().values()]
     return upstreams.all()
       .filter((upstream) => upstream.service === order.service && rollouts.roleOf(upstream) !== 'tried')
-      .reduce((sum, { incarnation: life }) => sum + loadsByNode.reduce((requests, loads) => requests + (loads[life]?.requests ?? 0), 0), 0)
+      .reduce((sum, { incarnation }) => sum + loadsByNode.reduce((requests, loads) => requests + (loads[incarnation]?.requests ?? 0), 0), 0)
   }
 
   async function decide (order: RolloutOrder): Promise<void> {
--- a/src/gateway/rollout-records.ts
+++ b/src/gateway/rollout-records.ts
@@ -29,7 +29,7 @@
   /** Time at which the statuses were last received; undefined before the first time. */
   statusReceivedAt (): Milliseconds | undefined
   /** Receives the entries that the operator writes beside the configuration. */
-  readonly follower: PrefixHandler
+  readonly handler: PrefixHandler
 }
 
 /** Maximum number of characters of an error or a stored value in a log line. */
@@ -121,7 +121,7 @@
     order: (service) => orders.get(service)?.order,
     status: (service) => statuses.get(service),
     statusReceivedAt: () => following?.lastContactAt(),
-    follower: {
+    handler: {
       replace: (entries) => {
         const keys = new Set(entries.map(({ key }) => key))
         for (const { key } of orders.values()) if (!keys.has(key)) removeOrder(key)
--- a/src/gateway/rollouts.ts
+++ b/src/gateway/rollouts.ts
@@ -9,7 +9,7 @@
 import type { UpstreamIncarnation, UpstreamRecord } from '../placement/index.js'
 import type { Random } from '../random.js'
 import { canaryFraction, createExposureShare, createVersionTest, emptyRouteEvidence, mergeEvidence, emptyEvidence, PROBE_TIME, roleOf, timeStepOf } from '../rollout/index.js'
-import type { ExposureShare, RolloutBounds, RolloutEvidence, RolloutOrder, RolloutStage, Side, VersionEvidence, VersionRole, VersionTest, Verdict } from '../rollout/index.js'
+import type { ExposureShare, RolloutBounds, RolloutEvidence, RolloutOrder, RolloutStage, Side, VersionEvidence, VersionRole, VersionTest, VersionVerdict } from '../rollout/index.js'
 import { statusFor } from './rollout-records.js'
 import type { KnownStatus, RolloutRecords } from './rollout-records.js'
 
@@ -27,7 +27,7 @@
 /** Evidence and verdict about the new version of a service, as this node knows them. */
 export interface RolloutView {
   readonly evidence: VersionEvidence
-  readonly verdict: Verdict
+  readonly verdict: VersionVerdict
 }
 
 /** Roll-outs as one node takes part in them. */
@@ -97,7 +97,7 @@
 
 /**
  * @example
- * const rollouts = createRollouts({ clock, random, log, bounds, records, nodes: fleet.size, ordersReceivedAt })
+ * const rollouts = createRollouts({ clock, random, log, bounds, records, nodes: fleet.maxNodeCount, ordersReceivedAt })
  * const usable = rollouts.admit('plans', rollouts.side('plans'), upstreams.all())
  */
 export function createRollouts (options: RolloutsOptions): Rollouts {
--- a/src/gateway/scaling-controller.ts
+++ b/src/gateway/scaling-controller.ts
@@ -38,7 +38,7 @@
 const REGISTRATION_DELAY: Milliseconds = 2_000
 
 interface ScaledService {
-  readonly orderBook: OrderTracker
+  readonly orders: OrderTracker
   readonly load: LoadEstimator
   /** Load to assume until the rates of work have settled, in busy upstreams. */
   readonly initialLoad: number
@@ -67,7 +67,7 @@
     const expected = expectedLoad(quotaTokens(), options.speeds.of(service.name).perThousandTokens)
     if (expected === 0 && present === 0) return undefined
     const initialLoad = expected > 0 ? expected : present * INITIAL_LOAD_FRACTION
-    const created: ScaledService = { orderBook: createOrderTracker(), load: createLoadEstimator(initialLoad), initialLoad, firstWorkAt: undefined, since: clock.now() }
+    const created: ScaledService = { orders: createOrderTracker(), load: createLoadEstimator(initialLoad), initialLoad, firstWorkAt: undefined, since: clock.now() }
     services.set(service.name, created)
     return created
   }
@@ -96,7 +96,7 @@
     const load = observeLoad(service, scaled, Math.min(...present.map((upstream) => upstream.slots)), now)
     const proof = duty.proof()
     if (proof === undefined) return
-    if (proof.fencing !== lastFencing) scaled.orderBook.reset()
+    if (proof.fencing !== lastFencing) scaled.orders.reset()
     const running = (pool: Pool): number => present.filter((upstream) => isInPool(pool, upstream) && !upstream.leaving).length
     const planned = planPools({
       assumeReclaimableRunning: now - scaled.since < facts.bootTime + REGISTRATION_DELAY && scaled.firstWorkAt === undefined,
@@ -104,13 +104,13 @@
       failureDomains: options.failureDomains,
       present: present.filter(options.carriesTraffic),
       load,
-      unavailableUntil: scaled.orderBook.unavailableUntil,
+      unavailableUntil: scaled.orders.unavailableUntil,
       now
     })
     const sizes = addOtherVersions(planned, present.filter((upstream) => !options.carriesTraffic(upstream)), facts.maxUpstreams)
-    for (const size of scaled.orderBook.due(sizes, running, now)) {
+    for (const size of scaled.orders.due(sizes, running, now)) {
       const answer = await sendOrder(proof, service.name, size)
-      scaled.orderBook.answered(size, answer, clock.now())
+      scaled.orders.answered(size, answer, clock.now())
       log.info('upstreams-ordered', { service: service.name, failureDomain: size.failureDomain, reclaimable: size.reclaimable, desired: size.desired, running: running(size), load: Math.round(load * 100) / 100, answer: answer ?? 'none', fencing: proof.fencing })
       if (answer === 'superseded') return duty.superseded(proof)
     }
--- a/src/gateway/stopping.ts
+++ b/src/gateway/stopping.ts
@@ -23,7 +23,7 @@
 export const STOP_MARGIN: Milliseconds = 400
 
 /**
- * Time during which callers with an outdated address list are served. An address list lives 2 s, and some callers keep
+ * Time during which callers with an outdated address list are served. An address list is valid for 2 s, and some callers keep
  * it for three times that long.
  */
 const STALE_ADDRESS_PERIOD: Milliseconds = 6_000
--- a/src/gateway/upstream-view.ts
+++ b/src/gateway/upstream-view.ts
@@ -43,7 +43,7 @@
   /** Removes an incarnation that has ended, whatever the registry shows. */
   forget (incarnation: UpstreamIncarnation): void
   /** Removes all upstreams but those of a complete listing. @returns the removed records */
-  keepOnly (ids: ReadonlySet<string>): readonly UpstreamRecord[]
+  retainOnly (ids: ReadonlySet<string>): readonly UpstreamRecord[]
   all (): readonly UpstreamRecord[]
   /** The record of an incarnation, if it is present. */
   find (incarnation: UpstreamIncarnation): UpstreamRecord | undefined
@@ -190,17 +190,17 @@
     forget: (incarnation) => {
       for (const [id, { record }] of records) if (record.incarnation === incarnation) records.delete(id)
     },
-    keepOnly: (ids) => {
+    retainOnly: (ids) => {
       const gone = all().filter(({ id }) => !ids.has(id))
       for (const { id } of gone) records.delete(id)
-      health.retainOnly(new Set(all().map(({ incarnation: life }) => life)))
+      health.retainOnly(new Set(all().map(({ incarnation }) => incarnation)))
       return gone
     },
     all,
     find: (incarnation) => all().find((record) => record.incarnation === incarnation),
     notLeaving,
     candidates: (service, excluded, now, admit = (present) => present) => {
-      const present = admit(notLeaving(service, excluded).filter(({ incarnation: life }) => availability.accepts(life, now)))
+      const present = admit(notLeaving(service, excluded).filter(({ incarnation }) => availability.accepts(incarnation, now)))
       const usable = present.filter((upstream) => health.usable(upstream.incarnation, now))
       // If all upstreams have failed recently, an attempt at one of them is better than a certain refusal.
       return (usable.length > 0 ? usable : present).map((upstream): Candidate => ({ upstream, load: loadOf(upstream.incarnation, now) }))
--- a/src/gateway/upstream-watcher.ts
+++ b/src/gateway/upstream-watcher.ts
@@ -100,8 +100,8 @@
     pruneConnections()
   }
 
-  function recordGone ({ id, incarnation: life, service }: UpstreamRecord, source: 'watch' | 'listing'): void {
-    endedIncarnations.ended(life, clock.now())
+  function recordGone ({ id, incarnation, service }: UpstreamRecord, source: 'watch' | 'listing'): void {
+    endedIncarnations.ended(incarnation, clock.now())
     log.info('upstream-gone', { upstream: id, service, source })
   }
 
@@ -109,7 +109,7 @@
     replace: (entries) => {
       const present = entries.map(readRecord).filter((registered) => registered !== undefined)
       doubtful.clear()
-      for (const gone of view.keepOnly(new Set(present.map(({ record }) => record.id)))) recordGone(gone, 'listing')
+      for (const gone of view.retainOnly(new Set(present.map(({ record }) => record.id)))) recordGone(gone, 'listing')
       for (const registered of present) put(registered, 'listing')
       pruneConnections()
     },
--- a/src/gossip/roles.ts
+++ b/src/gossip/roles.ts
@@ -21,7 +21,7 @@
 /** Largest number of nodes that all exchange states directly. A message with all their states has some 8 KB. */
 export const MAX_FULL_MESH_NODES = 16
 
-/** Members per aggregator. With one report per 0.4 s and member, an aggregator gets 60 reports a second. */
+/** Members per aggregator. With one report per 0.4 s and member, an aggregator gets 60 reports per second. */
 const MEMBERS_PER_AGGREGATOR = 24
 
 /**
--- a/src/gossip/types.ts
+++ b/src/gossip/types.ts
@@ -22,9 +22,9 @@
   nodes: z.number().int().positive(),
   /** Version of the configuration in force, the highest where the report covers several nodes; 0 for none. */
   configuration: z.number(),
-  /** Units a second that callers request, by organisation. */
+  /** Units per second that callers request, by organisation. */
   demand: countsSchema,
-  /** Units a second that are granted, by organisation. */
+  /** Units per second that are granted, by organisation. */
   granted: countsSchema,
   /** Requests in flight by incarnation of an upstream, and the prefill that they still need, in milliseconds. */
   inFlight: z.record(upstreamIncarnationSchema, z.object({ requests: z.number(), reading: z.number() })),
--- a/src/membership/rendezvous.ts
+++ b/src/membership/rendezvous.ts
@@ -7,7 +7,7 @@
 import type { FailureDomain, Incarnation } from '../identifiers.js'
 
 /** A node that is ranked. */
-export interface Candidate {
+export interface RankCandidate {
   readonly incarnation: Incarnation
   readonly failureDomain: FailureDomain
 }
@@ -21,7 +21,7 @@
  * @example
  * rank('organisation/hillside', nodes)[0] // the same on every node
  */
-export function rank<T extends Candidate> (key: string, candidates: readonly T[]): T[] {
+export function rank<T extends RankCandidate> (key: string, candidates: readonly T[]): T[] {
   const scored = candidates.map((candidate) => ({ candidate, score: score(key, candidate.incarnation) }))
   scored.sort((left, right) => right.score - left.score || compare(left.candidate.incarnation, right.candidate.incarnation))
   return scored.map((item) => item.candidate)
@@ -33,9 +33,9 @@
  *
  * @param count maximum number of candidates
  * @example
- * pickSpread('organisation/hillside', nodes, 4) // from three domains: 2 + 1 + 1
+ * pickAcrossDomains('organisation/hillside', nodes, 4) // from three domains: 2 + 1 + 1
  */
-export function pickAcrossDomains<T extends Candidate> (key: string, candidates: readonly T[], count: number): T[] {
+export function pickAcrossDomains<T extends RankCandidate> (key: string, candidates: readonly T[], count: number): T[] {
   const queues = [...groupByDomain(rank(key, candidates)).values()]
   const picked: T[] = []
   for (let round = 0; picked.length < Math.min(count, candidates.length); round += 1) {
@@ -52,7 +52,7 @@
  * @example
  * pickPerDomain('watch', nodes, 2)
  */
-export function pickPerDomain<T extends Candidate> (key: string, candidates: readonly T[], perDomain: number): T[] {
+export function pickPerDomain<T extends RankCandidate> (key: string, candidates: readonly T[], perDomain: number): T[] {
   return [...groupByDomain(rank(key, candidates)).values()].flatMap((queue) => queue.slice(0, perDomain))
 }
 
@@ -84,7 +84,7 @@
   return (mixed ^ (mixed >>> 16)) >>> 0
 }
 
-function groupByDomain<T extends Candidate> (ranked: readonly T[]): Map<FailureDomain, T[]> {
+function groupByDomain<T extends RankCandidate> (ranked: readonly T[]): Map<FailureDomain, T[]> {
   const groups = new Map<FailureDomain, T[]>()
   for (const candidate of ranked) {
     const group = groups.get(candidate.failureDomain) ?? []
--- a/src/operator/inquiry.ts
+++ b/src/operator/inquiry.ts
@@ -2,7 +2,7 @@
  * Inquiries between nodes on behalf of operators: this node's answers to peers, and queries to all nodes for one
  * operator request.
  */
-import { createTimeoutSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../timeout-signal.js'
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import { homeOf } from '../identifiers.js'
--- a/src/placement/choose.ts
+++ b/src/placement/choose.ts
@@ -58,8 +58,8 @@
  *
  * `perRequest`: a running request delays each step of the others by 0.0165 ms, and up to some 100 steps come before the
  * first token. `reclaimable`: about the prefill time of half of the unshared prompt part of a request that a reclaim
- * would lose. `preferredUpstreams`: with six, 94.9 % of the first tokens come in time at 64 nodes whose states are up to
- * 2.4 s old. With all upstreams it is 92.7 % (simulated, npm run bench -- gateway-placement).
+ * would lose. `preferredUpstreams`: in simulations of 64 nodes whose states are up to 2.4 s old, 94.9 % of the first
+ * tokens come in time with six preferred upstreams, and 92.7 % if all upstreams are compared.
  */
 export const ENGINE_COSTS: PlacementCosts = { perRequest: 2, otherDomain: 2, reclaimable: 60, preferredUpstreams: 6 }
 
--- a/src/placement/index.ts
+++ b/src/placement/index.ts
@@ -1,6 +1,6 @@
 /** Chooses upstreams for forwarded requests. */
-export { createEndedIncarnations, REGISTRY_SETTLE_TIME } from './ended-lives.js'
-export type { EndedIncarnations } from './ended-lives.js'
+export { createEndedIncarnations, REGISTRY_SETTLE_TIME } from './ended-incarnations.js'
+export type { EndedIncarnations } from './ended-incarnations.js'
 export { incarnationOf, upstreamIncarnationSchema } from './types.js'
 export type { InFlight, NodeLoad, PromptPart, UpstreamIncarnation, UpstreamRecord, PlacementRequest } from './types.js'
 export { chooseUpstream, ENGINE_COSTS, PLAIN_COSTS } from './choose.js'
--- a/src/placement/speed.ts
+++ b/src/placement/speed.ts
@@ -54,7 +54,7 @@
  */
 export const ASSUMED_SPEED: EngineSpeed = { base: 30, perThousandTokens: 16, perMillionPairs: 0.37 }
 
-/** Samples kept per service. A node gets some ten a second, so they cover about the last half minute. */
+/** Samples kept per service. A node gets some ten per second, so they cover about the last half minute. */
 const MAX_SAMPLES = 240
 
 /** Samples needed for an estimate. */
--- a/src/planner/context.ts
+++ b/src/planner/context.ts
@@ -74,7 +74,7 @@
   readonly engines: Map<UpstreamName, KnownEngine>
   /** Engines that did not report the wanted state in the last comparison. */
   unsettled: ReadonlySet<UpstreamName>
-  /** Monotonic time of each engine's last response, or of the first query if it has not responded yet. */
+  /** Monotonic time of each engine's last answer, or of the first query if it has not answered yet. */
   readonly answered: Map<UpstreamName, Milliseconds>
   /** Last status of the weight store, with the monotonic time at which it was read. */
   storeStatus: { readonly at: Milliseconds, readonly status: WeightStoreStatus } | undefined
--- a/src/planner/observation.ts
+++ b/src/planner/observation.ts
@@ -15,7 +15,7 @@
   readonly listedInstances: readonly Instance[]
 }
 
-/** Time after which a listed instance whose engine has not responded is replaced. */
+/** Time after which a listed instance whose engine has not answered is replaced. */
 const SILENCE_TIMEOUT: Milliseconds = 5 * MINUTE
 
 /**
@@ -62,7 +62,7 @@
 }
 
 /**
- * Queries the load of engines and stores their reports in the tenure. The last report of an engine that does not respond
+ * Queries the load of engines and stores their reports in the tenure. The last report of an engine that does not answer
  * is kept.
  *
  * @example
@@ -135,7 +135,7 @@
     const checksFencing = settings.fencing_checked_by.includes(service)
     tenure.engines.set(upstream, { upstream, service, report, reportedAt, checksFencing, instance: instance.name, address: instance.address })
   } catch {
-    // The last report is kept. The time of the last response shows how long the engine has been silent.
+    // The last report is kept. The time of the last answer shows how long the engine has been silent.
   }
 }
 
--- a/src/planner/planner.ts
+++ b/src/planner/planner.ts
@@ -1,5 +1,5 @@
 /** Planner process. One runs next to each entry node, and only the one that holds the lease acts. */
-import { createTimeoutSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../timeout-signal.js'
 import { randomBytes } from 'node:crypto'
 import { setMaxListeners } from 'node:events'
 import type { Clock, Milliseconds } from '../clock.js'
--- a/src/protocols/engine.ts
+++ b/src/protocols/engine.ts
@@ -28,7 +28,7 @@
 }
 
 /** Start of an answer that another engine generated, for an engine that continues it. */
-export interface Continuation {
+export interface EngineContinuation {
   /** Offset of the first token that the engine generates. */
   readonly offset: number
   /** Text that precedes the offset. */
@@ -41,7 +41,7 @@
   readonly model: string
   /** A request with a lower value runs earlier. Derived from the remaining slack to the target of the request's class. */
   readonly priority: number
-  readonly continuation?: Continuation
+  readonly continuation?: EngineContinuation
   readonly traceparent?: string
   readonly signal: AbortSignal
 }
--- a/src/protocols/lease-manager.ts
+++ b/src/protocols/lease-manager.ts
@@ -77,7 +77,7 @@
 
   /**
    * Runs the calls one at a time. Failure guarded against: two concurrent calls grant two leases. The lease that the key
-   * isn't attached to is renewed, so the key expires while this process still considers itself the holder.
+   * is not attached to is renewed, so the key expires while this process still considers itself the holder.
    */
   function refresh (): Promise<void> {
     const nextRefresh = lastRefresh.then(refreshOnce, refreshOnce)
--- a/src/quota/demand.ts
+++ b/src/quota/demand.ts
@@ -2,7 +2,7 @@
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 
-/** Decaying rates in units a second, by organisation. */
+/** Decaying rates in units per second, by organisation. */
 export interface DemandRates {
   /** Counts units used at `now`. */
   add (organisation: string, units: number, now: Milliseconds): void
--- a/src/quota/level.ts
+++ b/src/quota/level.ts
@@ -15,7 +15,7 @@
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 
-/** Rates of an organisation over all nodes, in units a second. */
+/** Rates of an organisation over all nodes, in units per second. */
 export interface ObservedRates {
   /** Units that callers request. */
   readonly offered: number
@@ -65,7 +65,7 @@
 /**
  * Creates the level of an organisation's bucket.
  *
- * @param rate refill in units a second, for all nodes together
+ * @param rate refill in units per second, for all nodes together
  * @param size maximum level in units
  * @param initialFill fraction of the size that is available at the start
  * @param now time of the start
--- a/src/quota/limiter.ts
+++ b/src/quota/limiter.ts
@@ -16,11 +16,11 @@
   | { readonly kind: 'granted' }
   /**
    * Over the quota. The request may be retried after `retryAfter`. `offered` is what callers request at all nodes, in units
-   * a second.
+   * per second.
    */
   | { readonly kind: 'over', readonly retryAfter: Milliseconds, readonly offered: number }
 
-/** Units a second by organisation. */
+/** Units per second by organisation. */
 export type UnitRates = Readonly<Record<string, number>>
 
 /** Use of quotas as reported for one or more nodes. */
--- a/src/quota/share.ts
+++ b/src/quota/share.ts
@@ -9,7 +9,7 @@
  * whole rate. Nodes that may serve but have not reported are counted with the mean of the known demand.
  */
 
-/** Demand reported for several nodes together, in units a second. */
+/** Demand reported for several nodes together, in units per second. */
 export interface ReportedDemand {
   readonly demand: number
   readonly nodes: number
@@ -23,7 +23,7 @@
 /**
  * Computes this node's share of an organisation's quota.
  *
- * @param own recent demand of the organisation at this node, in units a second
+ * @param own recent demand of the organisation at this node, in units per second
  * @param others latest reported demand of the other live nodes, and their number
  * @param nodes number of nodes that may serve, including this node; at least 1
  * @returns a number above 0 and at most 1
--- a/src/quota/token-bucket.ts
+++ b/src/quota/token-bucket.ts
@@ -8,7 +8,7 @@
   take (cost: number, now: Milliseconds): boolean
   /** Returns the cost of a request that did not run. */
   refund (cost: number): void
-  /** Sets a new rate (units a second) and size; a positive level keeps its fraction of the size. */
+  /** Sets a new rate (units per second) and size; a positive level keeps its fraction of the size. */
   resize (rate: number, size: number, now: Milliseconds): void
   /** Time until the next request is admitted: 0 if it is admitted now, Infinity if the rate is 0. */
   wait (now: Milliseconds): Milliseconds
@@ -21,7 +21,7 @@
  * hold its whole cost. Here a bucket with a positive level admits a request of any size and then refuses requests until
  * the debt is refilled. The mean rate holds, and each node exceeds it by at most one request.
  *
- * @param rate units a second
+ * @param rate units per second
  * @param size maximum level in units
  * @param now time of the start
  * @example
--- a/src/report/counts.ts
+++ b/src/report/counts.ts
@@ -28,12 +28,12 @@
   recomputedTokens: count
 })
 /** Counts of one class, organisation and period. */
-export type Counts = z.infer<typeof countsSchema>
+export type RequestCounts = z.infer<typeof countsSchema>
 
-const COUNT_NAMES = Object.keys(countsSchema.shape) as (keyof Counts)[]
+const COUNT_NAMES = Object.keys(countsSchema.shape) as (keyof RequestCounts)[]
 
 /** Counts in their stored form, which omits zero counts. */
-export type CompactCounts = { [name in keyof Counts]?: number | undefined }
+export type CompactCounts = { [name in keyof RequestCounts]?: number | undefined }
 
 /**
  * Creates counts that are all zero.
@@ -41,8 +41,8 @@
  * @example
  * const counts = zeroCounts()
  */
-export function zeroCounts (): Counts {
-  return Object.fromEntries(COUNT_NAMES.map((name) => [name, 0])) as Counts
+export function zeroCounts (): RequestCounts {
+  return Object.fromEntries(COUNT_NAMES.map((name) => [name, 0])) as RequestCounts
 }
 
 /**
@@ -52,7 +52,7 @@
  * @example
  * addCounts(sum, cell.counts)
  */
-export function addCounts (sum: Counts, added: CompactCounts, factor: 1 | -1 = 1): void {
+export function addCounts (sum: RequestCounts, added: CompactCounts, factor: 1 | -1 = 1): void {
   for (const name of COUNT_NAMES) sum[name] += factor * (added[name] ?? 0)
 }
 
@@ -62,7 +62,7 @@
  * @example
  * compactCounts({ ...zeroCounts(), accepted: 3 }) // { accepted: 3 }
  */
-export function compactCounts (counts: Counts): CompactCounts {
+export function compactCounts (counts: RequestCounts): CompactCounts {
   return Object.fromEntries(COUNT_NAMES.filter((name) => counts[name] !== 0).map((name) => [name, counts[name]]))
 }
 
@@ -72,7 +72,7 @@
  * @example
  * openOf({ ...zeroCounts(), accepted: 3, served: 2 }) // 1
  */
-export function openOf (counts: Counts): number {
+export function openOf (counts: RequestCounts): number {
   const entered = counts.accepted + counts.takenOver
   const left = counts.served + counts.late + counts.refusedLater + counts.lost + counts.unknown + counts.handedOver
   return entered - left
--- a/src/report/death.ts
+++ b/src/report/death.ts
@@ -25,16 +25,16 @@
 export type DeathRecord = z.infer<typeof deathRecordSchema>
 
 /**
- * Converts the account of one dead node to death records.
+ * Converts the counts of one dead node to death records.
  *
  * @param period period in which the death was detected
  * @example
- * records.push(...deathRecordsOf(account, periodOf(clock.wall())))
+ * records.push(...deathRecordsOf(counts, periodOf(clock.wall())))
  */
-export function deathRecordsOf (account: DeadHomeCounts, period: Milliseconds): DeathRecord[] {
-  return account.rows.map((row) => ({
+export function deathRecordsOf (counts: DeadHomeCounts, period: Milliseconds): DeathRecord[] {
+  return counts.rows.map((row) => ({
     period,
-    incarnation: account.incarnation,
+    incarnation: counts.incarnation,
     class: row.class,
     organisation: row.organisation,
     resumed: row.resumed,
--- a/src/report/ledger.ts
+++ b/src/report/ledger.ts
@@ -5,7 +5,7 @@
 import type { Milliseconds } from '../clock.js'
 import type { RequestId, ServiceName } from '../identifiers.js'
 import type { DeadHomeCounts, Outcome, RequestKey, RequestTimes } from '../request/index.js'
-import type { Counts } from './counts.js'
+import type { RequestCounts } from './counts.js'
 import { deathRecordsOf } from './death.js'
 import type { DeathRecord } from './death.js'
 import { recordLatency } from './latency.js'
@@ -43,7 +43,7 @@
   /** Adds to the cost of the instances of a service. */
   spent (service: ServiceName, amount: number): void
   /** Records what became of the requests of a node that died. It adds nothing to the counts of requests. */
-  nodeDied (account: DeadHomeCounts): void
+  nodeDied (counts: DeadHomeCounts): void
   /** Wall time of the start of the current epoch. */
   since (): Milliseconds
   /** Returns the counts of the current epoch. */
@@ -143,7 +143,7 @@
       if (cell !== undefined) cell.counts.takenOver += 1
     },
     spent: (service, amount) => addSpend(periodOf(wall()), service, amount),
-    nodeDied: (account) => { deaths.push(...deathRecordsOf(account, periodOf(wall()))) },
+    nodeDied: (counts) => { deaths.push(...deathRecordsOf(counts, periodOf(wall()))) },
     since: () => since,
     snapshot,
     closeEpoch: () => {
@@ -193,7 +193,7 @@
   }
 }
 
-function countWork (counts: Counts, work: WorkDone): void {
+function countWork (counts: RequestCounts, work: WorkDone): void {
   counts.generatedTokens += Math.round(work.generatedTokens)
   counts.recomputedTokens += Math.round(work.recomputedTokens)
 }
--- a/src/report/sums.ts
+++ b/src/report/sums.ts
@@ -1,6 +1,6 @@
 /** Sums of requests over the counts of many nodes, some of which died before they reported everything. */
 import type { RequestSums } from './document.js'
-import type { Counts } from './counts.js'
+import type { RequestCounts } from './counts.js'
 import { openOf } from './counts.js'
 
 /**
@@ -26,7 +26,7 @@
  * @example
  * sumsOf(counts).open
  */
-export function sumsOf (counts: Counts): RequestSums {
+export function sumsOf (counts: RequestCounts): RequestSums {
   const transit = counts.handedOver - counts.takenOver
   const unresolved = openOf(counts) + transit
   const unreported = Math.max(0, -unresolved)
--- a/src/report/tally.ts
+++ b/src/report/tally.ts
@@ -5,7 +5,7 @@
 import { classNameSchema, organisationNameSchema } from '../identifiers.js'
 import type { ClassName, OrganisationName } from '../identifiers.js'
 import { addCounts, compactCounts, countsSchema, zeroCounts } from './counts.js'
-import type { Counts } from './counts.js'
+import type { RequestCounts } from './counts.js'
 import { addLatencies, decodeLatencies, encodeLatencies, subtractLatencies } from './latency.js'
 import type { Latencies } from './latency.js'
 
@@ -23,7 +23,7 @@
 /** Counts and latencies of one cell. */
 export interface Cell {
   readonly key: CellKey
-  readonly counts: Counts
+  readonly counts: RequestCounts
   /** Number of refusals before and after acceptance, by failure code. */
   readonly refusals: Map<string, number>
   readonly latencies: Latencies
--- a/src/request/answer.ts
+++ b/src/request/answer.ts
@@ -126,7 +126,7 @@
  * Creates a list of waiting callers that are woken together.
  *
  * Failure guarded against: with one list for readers and writers, a reader that has caught up wakes the other waiting
- * readers, which wake it in turn. The process would be busy with this for ever. With two lists, readers wake only
+ * readers, which wake it in turn. The process would be busy with this forever. With two lists, readers wake only
  * writers and writers wake only readers. The final event wakes both.
  */
 function createWaiters () {
--- a/src/request/crash-guard.ts
+++ b/src/request/crash-guard.ts
@@ -121,7 +121,7 @@
    * Removes permits that have blocked other dispatches for too long.
    *
    * Failure guarded against: the message that ends a permit never reaches the owner, and requests with this
-   * fingerprint wait for ever. Such a permit therefore expires. Its end is unknown, so it counts as a crash until its
+   * fingerprint wait forever. Such a permit therefore expires. Its end is unknown, so it counts as a crash until its
    * holder or the next dispatch reports an answer.
    */
   function expireLostPermits (record: FingerprintRecord, now: Milliseconds): void {
--- a/src/request/hand-over.ts
+++ b/src/request/hand-over.ts
@@ -36,7 +36,7 @@
 }
 
 /** How the receiver continues a request. */
-export type Continuation =
+export type ContinuationDecision =
   /** Dispatch the request, which was never sent to an upstream. */
   | { kind: 'run' }
   /** Attach to the stream. `otherwise` says what to do if the stream no longer exists. */
@@ -72,7 +72,7 @@
  * @example
  * decideContinuation({ request, dispatched: true, tokens: [], position: undefined }).kind // 'give-up' for a booking
  */
-export function decideContinuation (handed: HandedOverRequest): Continuation {
+export function decideContinuation (handed: HandedOverRequest): ContinuationDecision {
   const { request, position, tokens } = handed
   if (!handed.dispatched) return { kind: 'run' }
   if (position !== undefined) {
--- a/src/request/home.ts
+++ b/src/request/home.ts
@@ -128,7 +128,7 @@
   readonly record: Submission
   ended: EndedRequest | undefined
   endedAt: Milliseconds
-  answerKept: boolean
+  answerRetained: boolean
   successor: Incarnation | undefined
 }
 
@@ -155,7 +155,7 @@
   const entries = new Map<RequestId, Entry>()
   /** Ended requests, in the order of their ends. */
   const ended = new Map<RequestId, Entry>()
-  const keptAnswers = new Map<RequestId, Entry>()
+  const retainedAnswers = new Map<RequestId, Entry>()
   const forgotten = createSeenFilter({ bits: options.forgottenFilterBits ?? FORGOTTEN_FILTER_BITS, hashes: FORGOTTEN_FILTER_HASHES, seed: options.seed })
   const predecessors = new Set<Incarnation>()
   let closed = false
@@ -165,7 +165,7 @@
     if (entry.record.organisation !== organisation) return { kind: 'not-visible' }
     if (entry.record.fingerprint !== fingerprint) return { kind: 'conflict' }
     if (entry.successor !== undefined) return { kind: 'ask-home', incarnation: entry.successor }
-    if (entry.ended !== undefined && !entry.answerKept) return { kind: 'ended', ended: entry.ended }
+    if (entry.ended !== undefined && !entry.answerRetained) return { kind: 'ended', ended: entry.ended }
     return { kind: 'attach' }
   }
 
@@ -184,17 +184,17 @@
   }
 
   function add (record: Submission): Entry {
-    const entry = { record: { id: record.id, organisation: record.organisation, fingerprint: record.fingerprint }, ended: undefined, endedAt: 0, answerKept: false, successor: undefined }
+    const entry = { record: { id: record.id, organisation: record.organisation, fingerprint: record.fingerprint }, ended: undefined, endedAt: 0, answerRetained: false, successor: undefined }
     entries.set(record.id, entry)
     return entry
   }
 
-  function finish (entry: Entry, end: EndedRequest, answerKept: boolean, now: Milliseconds): void {
+  function finish (entry: Entry, end: EndedRequest, answerRetained: boolean, now: Milliseconds): void {
     entry.ended = end
     entry.endedAt = now
-    entry.answerKept = answerKept
+    entry.answerRetained = answerRetained
     ended.set(entry.record.id, entry)
-    if (answerKept) keptAnswers.set(entry.record.id, entry)
+    if (answerRetained) retainedAnswers.set(entry.record.id, entry)
   }
 
   function forget (id: RequestId): void {
@@ -205,10 +205,10 @@
 
   function expireAnswers (now: Milliseconds): RequestId[] {
     const dropped: RequestId[] = []
-    for (const [id, entry] of keptAnswers) {
+    for (const [id, entry] of retainedAnswers) {
       if (now - entry.endedAt < answerRetention && entries.has(id)) break
-      keptAnswers.delete(id)
-      entry.answerKept = false
+      retainedAnswers.delete(id)
+      entry.answerRetained = false
       dropped.push(id)
     }
     return dropped
--- a/src/request/isolation.ts
+++ b/src/request/isolation.ts
@@ -25,6 +25,7 @@
  * {@link isolationSubject}.
  *
  * @example
+ * const isolation = createIsolation()
  * if (!isolation.enter(upstream, permitName(id, 2), holder)) tryAnotherUpstream()
  */
 export function createIsolation (): Isolation {
--- a/src/rollout/evidence.ts
+++ b/src/rollout/evidence.ts
@@ -1,7 +1,7 @@
 /**
  * Evidence on a tried version and on the serving versions: counts of failures and of answer times, by route.
  *
- * A node gets a few requests a second, and the tried version gets a few per cent of them, so only the sums over all nodes
+ * A node gets a few requests per second, and the tried version gets a few per cent of them, so only the sums over all nodes
  * are significant. Times are kept as a histogram, because histograms can be added exactly and in any order.
  */
 import * as z from 'zod'
--- a/src/rollout/exposure.ts
+++ b/src/rollout/exposure.ts
@@ -81,7 +81,7 @@
   readonly sent: number
   /** Number of attempts at the tried version. */
   readonly exposed: number
-  /** Requests a second. */
+  /** Requests per second. */
   readonly rate: number
   /** Duration of the probe. */
   readonly durationSeconds: number
--- a/src/rollout/steps.ts
+++ b/src/rollout/steps.ts
@@ -10,12 +10,12 @@
 import { probeFraction } from './exposure.js'
 import { isAnswerTo } from './versions.js'
 import type { RolloutBounds, RolloutOrder, RolloutStage, RolloutStatus } from './types.js'
-import type { Verdict } from './verdict.js'
+import type { VersionVerdict } from './verdict.js'
 
 /** Input of a decision. */
 export interface RolloutSituation {
   readonly bounds: RolloutBounds
-  readonly verdict: Verdict
+  readonly verdict: VersionVerdict
   /** Time since the order, by the shared wall clock. */
   readonly elapsed: Milliseconds
   /** Time for which this node has known the current stage. */
@@ -36,7 +36,7 @@
   readonly sent: number
   /** Number of attempts at the tried version since the order. */
   readonly exposed: number
-  /** Attempts a second. */
+  /** Attempts per second. */
   readonly rate: number
 }
 
--- a/src/rollout/verdict.ts
+++ b/src/rollout/verdict.ts
@@ -12,7 +12,7 @@
 import type { RouteEvidence, SideEvidence, VersionEvidence } from './evidence.js'
 
 /** Result of the test. */
-export type Verdict =
+export type VersionVerdict =
   | { readonly kind: 'open' }
   | { readonly kind: 'good' }
   | { readonly kind: 'bad', readonly route: string, readonly fault: FaultKind }
@@ -25,7 +25,7 @@
   /** Evaluates sums since the order. The answers added since the last call are new evidence. */
   observe (evidence: VersionEvidence): void
   /** Current verdict. A bad verdict is final. */
-  verdict (): Verdict
+  verdict (): VersionVerdict
 }
 
 /** A fault that is tested for. */
@@ -112,7 +112,7 @@
 export function createVersionTest (): VersionTest {
   const routes = new Map<string, RouteTest>()
   let latest: VersionEvidence | undefined
-  let bad: Verdict & { kind: 'bad' } | undefined
+  let bad: VersionVerdict & { kind: 'bad' } | undefined
 
   function observeRoute (name: string, evidence: RouteEvidence): void {
     const test = routes.get(name) ?? createRouteTest()
--- a/src/scaling/load.ts
+++ b/src/scaling/load.ts
@@ -17,9 +17,9 @@
  *
  * Prefill dominates: each token of a prompt takes time of its own, whereas one decoding step generates a token for
  * every stream of the batch. The observed prefill time already includes the decoding steps between its chunks.
- * Generated tokens therefore count only where streams would fill the batches. With a sixteenth of a step charged per
- * generated token, generation made up half of the load of an organisation with long answers and the fleet was too
- * large: the mean score of six test days was 0.501 with the charge and 0.530 without (processor time not counted).
+ * Generated tokens therefore count only where streams would fill the batches. If a sixteenth of a step were charged per
+ * generated token, generation would be half of the load of an organisation with long answers, and the fleet would be
+ * too large. Over six test days such a charge lowers the mean score from 0.530 to 0.501 (processor time not included).
  *
  * @param slots requests that an engine runs concurrently
  * @example
--- a/src/scaling/work-meter.ts
+++ b/src/scaling/work-meter.ts
@@ -8,10 +8,10 @@
   /**
    * Adds one request.
    *
-   * @param reading time that the prefill of its prompt takes
+   * @param prefillTime time that the prefill of its prompt takes
    * @param generatedTokens maximum number of tokens to be generated
    */
-  add (service: string, reading: Milliseconds, generatedTokens: number, now: Milliseconds): void
+  add (service: string, prefillTime: Milliseconds, generatedTokens: number, now: Milliseconds): void
   /** Work per second by service. Services with a negligible rate are omitted. */
   rates (now: Milliseconds): Record<string, OfferedWork>
 }
@@ -48,11 +48,11 @@
   }
 
   return {
-    add: (service, reading, generatedTokens, now) => {
+    add: (service, prefillTime, generatedTokens, now) => {
       const meter = decayed(meters.get(service) ?? { requests: 0, reading: 0, generatedTokens: 0, at: now }, now)
       meters.set(service, {
         requests: meter.requests + RATE_WEIGHT,
-        reading: meter.reading + reading * RATE_WEIGHT,
+        reading: meter.reading + prefillTime * RATE_WEIGHT,
         generatedTokens: meter.generatedTokens + generatedTokens * RATE_WEIGHT,
         at: now
       })
@@ -60,8 +60,8 @@
     rates: (now) => {
       const rates: Record<string, OfferedWork> = {}
       for (const [service, meter] of meters) {
-        const { requests, reading, generatedTokens } = decayed(meter, now)
-        if (requests >= NEGLIGIBLE_RATE) rates[service] = { requests: round(requests), reading: round(reading), generatedTokens: round(generatedTokens) }
+        const { requests, reading: prefillTime, generatedTokens } = decayed(meter, now)
+        if (requests >= NEGLIGIBLE_RATE) rates[service] = { requests: round(requests), reading: round(prefillTime), generatedTokens: round(generatedTokens) }
       }
       return rates
     }
--- a/src/upstream/concurrency-window.ts
+++ b/src/upstream/concurrency-window.ts
@@ -19,7 +19,7 @@
    * @param inFlight requests of this node in flight at the upstream
    */
   observe (whole: Milliseconds, target: Milliseconds, inFlight: number): void
-  /** Records that an attempt failed or that its response stalled. */
+  /** Records that an attempt failed or that its answer stalled. */
   failed (): void
   /** Maximum number of requests in flight. */
   size (): number
--- a/src/upstream/cost.ts
+++ b/src/upstream/cost.ts
@@ -4,7 +4,7 @@
  */
 import type { Milliseconds } from '../clock.js'
 import type { AttemptDemand, UpstreamState } from './fleet-types.js'
-import type { UpstreamHealth } from './outliers.js'
+import type { HealthState } from './outliers.js'
 
 /** Values that determine the cost of a placement. */
 export interface CostInput {
@@ -24,7 +24,7 @@
   readonly holdTime: Milliseconds
   /** Time per token relative to the other upstreams, at least 1. */
   readonly slowness: number
-  readonly health: UpstreamHealth
+  readonly health: HealthState
   /** Whether an upstream of the same failure domain failed recently. */
   readonly domainFailed: boolean
 }
@@ -66,9 +66,9 @@
  *
  * @returns comparable between the upstreams of one service; smaller is better
  * @example
- * const cost = costOf(input)
+ * const cost = attemptCost(input)
  */
-export function costOf (input: CostInput): Milliseconds {
+export function attemptCost (input: CostInput): Milliseconds {
   if (input.health === 'probe') return 0
   const time = input.state.view.protocol === 'plain' ? plainTime(input) : engineTime(input)
   return time * input.slowness + penalties(input)
--- a/src/upstream/fleet-types.ts
+++ b/src/upstream/fleet-types.ts
@@ -4,7 +4,7 @@
 import type { ConcurrencyWindow } from './concurrency-window.js'
 import type { ExpectedAnswer } from './estimate.js'
 import type { UpstreamLoad } from './load.js'
-import type { UpstreamHealth } from './outliers.js'
+import type { HealthState } from './outliers.js'
 import type { PrefixIndex } from './prefix-index.js'
 import type { LoadReport, UpstreamView, Usage } from './types.js'
 
@@ -104,5 +104,5 @@
   /** Share of the service's requests that this node may send, 0 to 1. */
   share (): number
   /** Health of an upstream according to outlier detection. */
-  health (upstream: UpstreamName, now: Milliseconds): UpstreamHealth
+  health (upstream: UpstreamName, now: Milliseconds): HealthState
 }
--- a/src/upstream/fleet.ts
+++ b/src/upstream/fleet.ts
@@ -6,14 +6,14 @@
 import type { FailureDomain, UpstreamName } from '../identifiers.js'
 import type { Random } from '../random.js'
 import { createConcurrencyWindow } from './concurrency-window.js'
-import { costOf } from './cost.js'
+import { attemptCost } from './cost.js'
 import { createEngineEstimate, createPlainEstimate } from './estimate.js'
 import type { EngineEstimate, PlainEstimate } from './estimate.js'
 import type { AttemptDemand, Placement, ServiceFleet, UpstreamState } from './fleet-types.js'
 import { createUpstreamLoad } from './load.js'
 import type { CapacityLimits } from './load.js'
 import { createOutlierDetector } from './outliers.js'
-import type { UpstreamHealth } from './outliers.js'
+import type { HealthState } from './outliers.js'
 import { createConcurrencyLimit } from './decode-concurrency.js'
 import { createPrefixIndex } from './prefix-index.js'
 import type { UpstreamView, Usage } from './types.js'
@@ -109,7 +109,7 @@
     return state.load.hasCapacity(limits, demand.urgent, now)
   }
 
-  function usableHealth (state: UpstreamState, mayProbe: boolean, now: Milliseconds): UpstreamHealth | undefined {
+  function usableHealth (state: UpstreamState, mayProbe: boolean, now: Milliseconds): HealthState | undefined {
     const health = outliers.health(state.view.name, now)
     if (health === 'ejected') return undefined
     return health === 'probe' && !mayProbe ? undefined : health
@@ -154,7 +154,7 @@
       hint = placement.expectedBlocks
       const sampledRequests = state.load.sampledTotal(now, random, meanOfOthers, holdTime)
       const estimate = estimateOf(state.view)
-      const cost = costOf({
+      const cost = attemptCost({
         state,
         demand,
         computedTokens: placement.computedTokens,
--- a/src/upstream/load.ts
+++ b/src/upstream/load.ts
@@ -100,7 +100,7 @@
  */
 const SAMPLE_WIDTH_DEVIATIONS = 2
 
-/** Requests allowed at an upstream that has not responded yet. The limit doubles with each first token. */
+/** Requests allowed at an upstream that has not answered yet. The limit doubles with each first token. */
 const INITIAL_WINDOW = 4
 
 /**
--- a/src/upstream/outliers.ts
+++ b/src/upstream/outliers.ts
@@ -21,7 +21,7 @@
  * - `ejected`: takes no attempts
  * - `probe`: may take one attempt, which decides whether the upstream is reinstated
  */
-export type UpstreamHealth = 'healthy' | 'suspect' | 'ejected' | 'probe'
+export type HealthState = 'healthy' | 'suspect' | 'ejected' | 'probe'
 
 /** Outlier detection among the upstreams of one service. */
 export interface OutlierDetector {
@@ -38,7 +38,7 @@
   /** Records that an attempt ended without showing whether the upstream works. */
   withdrawn (upstream: UpstreamName): void
   /** Current health. Unknown upstreams are healthy. */
-  health (upstream: UpstreamName, now: Milliseconds): UpstreamHealth
+  health (upstream: UpstreamName, now: Milliseconds): HealthState
   /** Time per token relative to the other upstreams. 1 is usual, and the value is never lower. */
   slowness (upstream: UpstreamName): number
 }
--- a/test/backpressure/rate-limits.test.ts
+++ b/test/backpressure/rate-limits.test.ts
@@ -123,7 +123,7 @@
     assert.ok(maxIn(arrivals, WINDOW) <= 1.5 * WINDOW / SECOND + 5)
   })
 
-  // Guards against losing a limit as soon as it is named: the response to an earlier request arrives late and names
+  // Guards against losing a limit as soon as it is named: the answer to an earlier request arrives late and names
   // none.
   it('are not lifted by a response to an earlier request', () => {
     const limits = createRateLimits('node-0')
--- a/test/bounded-lines.test.ts
+++ b/test/bounded-line-sink.test.ts
@@ -2,7 +2,7 @@
 import assert from 'node:assert/strict'
 import { Writable } from 'node:stream'
 import { describe, it } from 'node:test'
-import { createBoundedLineSink } from '../src/bounded-lines.js'
+import { createBoundedLineSink } from '../src/bounded-line-sink.js'
 import { createManualClock } from '../stand-ins/manual-clock.js'
 
 const describeLeftOut = (leftOut: Readonly<Record<string, number>>): string => JSON.stringify({ event: 'lines-left-out', ...leftOut })
--- a/test/capacity/demand.test.ts
+++ b/test/capacity/demand.test.ts
@@ -23,7 +23,7 @@
   assert.ok(neededWork(growing!, options) > 1_600 + 0.8 * 300)
 })
 
-// Guards against late responses after the loss of a zone: the planner took the load of an instance in a quiet hour for
+// Guards against late answers after the loss of a zone: the planner took the load of an instance in a quiet hour for
 // its full capacity, or assumed a capacity far beyond any observed load.
 test('capacity at the target is predicted from quieter hours, and stays near the observed maximum', () => {
   fc.assert(fc.property(fc.double({ min: 5, max: 15, noNaN: true }), fc.double({ min: 0.2, max: 1.5, noNaN: true }), (single, perAnswer) => {
@@ -43,7 +43,7 @@
   }), { seed: 1, numRuns: 50 })
 })
 
-test('late responses lower the capacity only if requests queued', () => {
+test('late answers lower the capacity only if requests queued', () => {
   const known = learnCapacity(undefined, { workPerSecond: 600, running: 10, inTarget: 0.99, quantile: 0.95, queued: false })
   const late = { workPerSecond: 500, running: 10, inTarget: 0.5, quantile: 0.95 }
   assert.equal(learnCapacity(known, { ...late, queued: false }).highest, 600)
--- a/test/capacity/mix.test.ts
+++ b/test/capacity/mix.test.ts
@@ -52,7 +52,7 @@
   fc.assert(fc.property(problemArbitrary, (problem) => assert.deepEqual(searchMix(problem), searchMix(structuredClone(problem)))), { seed: 1, numRuns: 30 })
 })
 
-// Guards against late responses after two zones are reclaimed within minutes: the loss of either zone was planned
+// Guards against late answers after two zones are reclaimed within minutes: the loss of either zone was planned
 // for, but not the loss of both, although the reclaim history made it likely.
 test('the loss of two zones is planned for if their reclaim rates are high, and not if they are low', () => {
   const waves = (wavesPerHour: number) => ['a', 'b', 'c', 'd'].map((zone) => ({ failureDomain: failureDomainSchema.parse(zone), wavesPerHour }))
--- a/test/gateway/evacuation.test.ts
+++ b/test/gateway/evacuation.test.ts
@@ -30,7 +30,7 @@
         return answer
       }
     },
-    chooseTarget: (_service, excluded) => TARGETS.find(({ incarnation: life }) => !excluded.has(life)),
+    chooseTarget: (_service, excluded) => TARGETS.find(({ incarnation }) => !excluded.has(incarnation)),
     mayMove: () => remainingBudget-- > 0,
     signal: shutdown.signal
   })
--- a/test/gateway/many-nodes.test.ts
+++ b/test/gateway/many-nodes.test.ts
@@ -65,7 +65,7 @@
     await waitUntil(async () => (await statuses('first')).every((status) => status === 200))
   })
 
-  // Guards against members that miss a configuration change because they don't watch the store: they would answer 404 for an
+  // Guards against members that miss a configuration change because they do not watch the store: they would answer 404 for an
   // added route and keep serving a removed route.
   it('all follow the configuration, members through the updates of their aggregators', async () => {
     deployment.configure(configuration(2, 'second'))
@@ -84,7 +84,7 @@
 })
 
 describe('a node that starts', () => {
-  // Guards against surplus upstreams that run on, and are charged for, after the start. A node that isn't a candidate yet at
+  // Guards against surplus upstreams that run on, and are charged for, after the start. A node that is not a candidate yet at
   // its first read of the lease's key would read the key again only about ten seconds later.
   it('takes the duties without waiting for its next periodic read of the key', { timeout: 60_000 }, async () => {
     // With this clock, a pause as long as the one between two periodic reads of the key never ends.
--- a/test/gateway/reporting.test.ts
+++ b/test/gateway/reporting.test.ts
@@ -39,9 +39,9 @@
       exchange: { mutate: async (text: string) => pack(answers().exchange(unpack(gossipMessageSchema, text))) },
       report: { mutate: async (text: string) => pack(answers().report(unpack(memberMessageSchema, text))) },
       reading: {
-        mutate: async (note: PrefillNotice) => {
+        mutate: async (notice: PrefillNotice) => {
           notified.push(address)
-          aggregators.get(address)?.forwardPrefillNotice(note)
+          aggregators.get(address)?.forwardPrefillNotice(notice)
         }
       }
     } as unknown as PeerLink
--- a/test/gateway/rollout-records.test.ts
+++ b/test/gateway/rollout-records.test.ts
@@ -37,7 +37,7 @@
     const store = createDirectKeyValue(keys, createFaultSwitch(clock, random), clock)
     const context = { store, clock, random, log: LOG, signal: shutdown.signal }
     const records = watchRolloutRecords(context, registry, 2 * SECOND, () => {})
-    followPrefix(context, 'op/', records.follower, boundedDelaySettings(2 * SECOND, 0))
+    followPrefix(context, 'op/', records.handler, boundedDelaySettings(2 * SECOND, 0))
     return { context, records }
   }
 
--- a/test/gateway/rollouts.test.ts
+++ b/test/gateway/rollouts.test.ts
@@ -21,7 +21,7 @@
     order: () => known.hasOrder === false ? undefined : ORDER,
     status: () => stage && { status: { service: 's', version: 'v2', order: 7, stage, probedPart: undefined, orderedAt: 0, avoided: [] }, revision: 9, isLost: false, since: clock.now() },
     statusReceivedAt: () => known.statusReceivedAt,
-    follower: { replace: () => {}, put: () => {}, remove: () => {} }
+    handler: { replace: () => {}, put: () => {}, remove: () => {} }
   }
   let receivedAt = clock.now()
   const rollouts = createRollouts({ clock, random: createRandom(1), log: LOG, bounds: { exposedPart: 0.1, exposedExtra: 0 }, records, nodes: () => 1, ordersReceivedAt: () => receivedAt })
--- a/test/gateway/upstream-view.test.ts
+++ b/test/gateway/upstream-view.test.ts
@@ -40,7 +40,7 @@
   // record lapses, is read again, and requests go to the engine again.
   it('keeps a notice given in answers when the record lapses and is read again', () => {
     const leavingIncarnations = new Set([record(1).incarnation])
-    const view = createUpstreamView({ isLeaving: (life) => leavingIncarnations.has(life), accepts: () => true })
+    const view = createUpstreamView({ isLeaving: (incarnation) => leavingIncarnations.has(incarnation), accepts: () => true })
     view.put(record(1), 1)
     assert.equal(view.candidates('s', new Set(), 0).length, 0)
     view.remove('i', 2)
@@ -69,7 +69,7 @@
     view.put(record(2), 110)
     assert.equal(view.remove('i', 104), undefined)
     assert.equal(view.put(record(1, { leaving: true }), 105), undefined)
-    assert.deepEqual(view.all().map(({ incarnation: life }) => life), [record(2).incarnation])
+    assert.deepEqual(view.all().map(({ incarnation }) => incarnation), [record(2).incarnation])
   })
 
   it('removes only the given incarnation when that one has ended', () => {
@@ -121,18 +121,18 @@
   })
 
   it('does not change when older records arrive again after newer ones', () => {
-    const reading = fc.record({ born: fc.integer({ min: 1, max: 9 }), leaving: fc.boolean(), present: fc.boolean() })
-    fc.assert(fc.property(fc.array(reading, { minLength: 1, maxLength: 20, size: 'max' }), fc.nat(), (readings, pick) => {
+    const registryState = fc.record({ born: fc.integer({ min: 1, max: 9 }), leaving: fc.boolean(), present: fc.boolean() })
+    fc.assert(fc.property(fc.array(registryState, { minLength: 1, maxLength: 20, size: 'max' }), fc.nat(), (states, pick) => {
       const view = createUpstreamView()
-      const applyReading = (index: number): void => {
-        const { born, leaving, present } = readings[index]!
+      const applyState = (index: number): void => {
+        const { born, leaving, present } = states[index]!
         if (present) view.put(record(born, { leaving }), index + 1)
         else view.remove('i', index + 1)
       }
-      readings.forEach((_, index) => applyReading(index))
+      states.forEach((_, index) => applyState(index))
       const before = view.all()
       if (before.length === 0) return
-      applyReading(pick % readings.length)
+      applyState(pick % states.length)
       assert.deepEqual(view.all(), before)
     }), { seed: 19, numRuns: 600 })
   })
--- a/test/membership/view.test.ts
+++ b/test/membership/view.test.ts
@@ -6,10 +6,10 @@
 import { selectAddressNodes, createMembershipView, createSuspicions, isWatcher, LAPSE_GRACE, LAPSE_GRACE_UNREACHABLE, nodeRecordSchema, successorsOf, watchers, WATCHERS_PER_DOMAIN } from '../../src/membership/index.js'
 import type { NodeRecord, ViewChange } from '../../src/membership/index.js'
 
-function node (number: number, domain = number % 3, life = 1): NodeRecord {
+function node (number: number, domain = number % 3, start = 1): NodeRecord {
   return nodeRecordSchema.parse({
     instance: `entry-${number}`,
-    incarnation: `entry-${number}-life${life}`,
+    incarnation: `entry-${number}-life${start}`,
     failureDomain: `zone-${domain}`,
     address: `10.0.0.${number % 250}:80`,
     peerAddress: `10.0.0.${number % 250}:81`,
@@ -21,7 +21,7 @@
 const isNeverDown = (): boolean => false
 const TEJO = organisationNameSchema.parse('tejo')
 
-const change = fc.record({ number: fc.integer({ min: 1, max: 12 }), life: fc.integer({ min: 1, max: 2 }), deleted: fc.boolean() })
+const change = fc.record({ number: fc.integer({ min: 1, max: 12 }), start: fc.integer({ min: 1, max: 2 }), deleted: fc.boolean() })
 
 test('views that receive changes from peers in any portions become equal to the view of the watcher', () => {
   // Failure guarded against: a watcher receives each change, and other nodes receive portions from peers, late and
@@ -45,8 +45,8 @@
   }), { seed: 1, numRuns: 500 })
 })
 
-function toChange (item: { number: number, life: number, deleted: boolean }, index: number): ViewChange {
-  const record = node(item.number, 0, item.life)
+function toChange (item: { number: number, start: number, deleted: boolean }, index: number): ViewChange {
+  const record = node(item.number, 0, item.start)
   if (item.deleted) return { kind: 'delete', revision: index + 1, incarnation: record.incarnation }
   return { kind: 'put', revision: index + 1, record }
 }
--- a/test/placement/placement.test.ts
+++ b/test/placement/placement.test.ts
@@ -7,9 +7,9 @@
 
 const node = { name: 'entry-1', failureDomain: 'a' }
 
-const candidate = (id: string, reading = 0, requests = 0): Candidate => ({
+const candidate = (id: string, prefill = 0, requests = 0): Candidate => ({
   upstream: upstreamRecord(id),
-  load: { requests, reading }
+  load: { requests, reading: prefill }
 })
 
 const requestFor = (subject: string, unsharedTokens: number): PlacementRequest => ({
@@ -44,7 +44,7 @@
 
   it('chooses one of the candidates if there is any', () => {
     fc.assert(fc.property(fc.array(fc.nat(5_000), { maxLength: 8 }), (queuedPrefills) => {
-      const candidates = queuedPrefills.map((reading, index) => candidate(`i-${index}`, reading))
+      const candidates = queuedPrefills.map((prefill, index) => candidate(`i-${index}`, prefill))
       const choice = chooseUpstream({ service: 's', parts: [], promptTokens: 0, target: 800, lostOnReclaim: false }, candidates, node, ENGINE_COSTS, ASSUMED_SPEED)
       assert.equal(choice === undefined, queuedPrefills.length === 0)
     }))
--- a/test/placement/speed.test.ts
+++ b/test/placement/speed.test.ts
@@ -12,8 +12,8 @@
 /** A prompt of a typical size, with the time to its first event on an engine of the given speed. */
 function samplePrompt (speed: EngineSpeed, random: Random): { readonly sample: PrefillSample, readonly reading: number } {
   const tokens = Math.round(SIZES[random.integer(SIZES.length)]! * (0.6 + 0.8 * random.fraction()))
-  const reading = prefillTime(tokens, 0, speed)
-  return { sample: { tokens, cached: 0, took: (speed.base + reading) * (0.97 + 0.06 * random.fraction()) }, reading }
+  const prefill = prefillTime(tokens, 0, speed)
+  return { sample: { tokens, cached: 0, took: (speed.base + prefill) * (0.97 + 0.06 * random.fraction()) }, reading: prefill }
 }
 
 function estimate (samples: readonly PrefillSample[]): EngineSpeed {
@@ -58,9 +58,9 @@
   // prefill time, the engines are estimated half as fast as they are and nearly twice as many are ordered.
   it('is hardly changed by queueing, unknown cache hits, stalls or one slow engine', () => {
     const speed: EngineSpeed = { base: 60, perThousandTokens: 11, perMillionPairs: 0.35 }
-    const disturbances: Record<string, (took: number, reading: number, random: Random) => number> = {
+    const disturbances: Record<string, (took: number, prefill: number, random: Random) => number> = {
       waiting: (took, _reading, random) => random.fraction() < 0.35 ? took + 150 * random.fraction() : took,
-      kept: (took, reading, random) => random.fraction() < 0.2 ? took - 0.7 * reading : took,
+      kept: (took, prefill, random) => random.fraction() < 0.2 ? took - 0.7 * prefill : took,
       'a slow engine of twelve': (took, _reading, random) => random.fraction() < 1 / 12 ? took * 4 : took,
       'answers that stall': (took, _reading, random) => random.fraction() < 0.05 ? took + 2_000 : took
     }
@@ -68,8 +68,8 @@
       for (let seed = 1; seed <= 20; seed += 1) {
         const random = createRandom(seed)
         const estimated = estimate(Array.from({ length: 240 }, () => {
-          const { sample, reading } = samplePrompt(speed, random)
-          return { ...sample, took: disturb(sample.took, reading, random) }
+          const { sample, reading: prefill } = samplePrompt(speed, random)
+          return { ...sample, took: disturb(sample.took, prefill, random) }
         }))
         assert.ok(errorOf(estimated, speed) < 0.2, `${name}, seed ${seed}: ${JSON.stringify(estimated)}`)
       }
--- a/test/planner/report-folder.test.ts
+++ b/test/planner/report-folder.test.ts
@@ -263,7 +263,7 @@
 })
 
 test('a planned stop leaves no gap, and requests open at the stop are reported as unknown', async () => {
-  // Failure guarded against: each restart leaves a gap in the report, and a request that stays open for ever.
+  // Failure guarded against: each restart leaves a gap in the report, and a request that stays open forever.
   const { clock, store } = createFixture()
   const node = createCountingNode('entry-1', connect(store).keyValue, clock)
   node.end(node.accept(1), SERVED)
--- a/test/platform/platform.test.ts
+++ b/test/platform/platform.test.ts
@@ -154,9 +154,9 @@
 
   it('state whether an upstream is leaving, and which incarnation of the upstream they describe', () => {
     const read = (state: string, more: object = {}) => {
-      const reading = registry.readUpstream('i', JSON.stringify({ service: 's', address: '1.2.3.4:5', zone: 'z', state, spot: true, leaves_ms: 2_000, ...more }))
-      assert.ok(reading.kind === 'usable')
-      return reading.record
+      const result = registry.readUpstream('i', JSON.stringify({ service: 's', address: '1.2.3.4:5', zone: 'z', state, spot: true, leaves_ms: 2_000, ...more }))
+      assert.ok(result.kind === 'usable')
+      return result.record
     }
     assert.equal(read('ready').leaving, false)
     assert.deepEqual([read('draining').leaving, read('draining').leavesIn, read('draining').reclaimable], [true, 2_000, true])
--- a/test/request/crash-guard.test.ts
+++ b/test/request/crash-guard.test.ts
@@ -300,7 +300,7 @@
   assert.equal(guard.isQuarantined('culprit', 1_000), false)
 })
 
-// Guards against requests that wait for ever for a permit whose end was not reported, because the connection between
+// Guards against requests that wait forever for a permit whose end was not reported, because the connection between
 // two nodes was lost when it ended. The permit must expire, and the next answer must clear the fingerprint.
 test('a permit whose end is not reported blocks other dispatches for a limited time', () => {
   const guard = createCrashGuard({ permitTimeout: 1_000 })
--- a/test/rollout/histories.test.ts
+++ b/test/rollout/histories.test.ts
@@ -47,7 +47,7 @@
 }
 
 describe('a good version', () => {
-  // The plain service has only 65 requests a second, and one in seven fails on one route with any version. It takes longer to
+  // The plain service has only 65 requests per second, and one in seven fails on one route with any version. It takes longer to
   // rule out a bad version there, so the order has a longer duration.
   for (const [name, routes, duration] of [['plain', PLAIN, 30_000], ['streams', STREAMS, 20_000]] as const) {
     it(`of ${name} is done in time`, () => {
--- a/test/rollout/history.ts
+++ b/test/rollout/history.ts
@@ -11,7 +11,7 @@
 /** A simulated route. */
 export interface HistoryRoute {
   readonly name: string
-  /** Requests a second over all nodes. */
+  /** Requests per second over all nodes. */
   readonly rate: number
   /** Fraction of the answers that fail with any version. */
   readonly failing: number
@@ -108,7 +108,7 @@
   let nodes = createNodes()
   let status: RolloutStatus | undefined
   let stageBegan = 0
-  let keptSums: { readonly at: number, readonly sums: VersionEvidence }[] = []
+  let retainedSums: { readonly at: number, readonly sums: VersionEvidence }[] = []
   let endedAt: number | undefined
   let exposed = 0
   let sent = 0
@@ -119,7 +119,7 @@
   for (let now = 0; now < duration + OVERTIME; now += TICK) {
     if (options.killedAt !== undefined && now >= options.killedAt && now < options.killedAt + TICK) {
       nodes = createNodes()
-      keptSums = []
+      retainedSums = []
     }
     for (const route of routes) {
       for (let remaining = samplePoisson(route.rate * TICK / 1_000, random); remaining > 0; remaining -= 1) request(nodes[random.integer(count)]!, route, now)
@@ -176,13 +176,13 @@
 
   /** Latest sums that a group has received. */
   function sumsOf ({ lag }: HistoryGroup, now: number): VersionEvidence {
-    return keptSums.findLast(({ at }) => at <= now - lag)?.sums ?? emptyEvidence(order.revision)
+    return retainedSums.findLast(({ at }) => at <= now - lag)?.sums ?? emptyEvidence(order.revision)
   }
 
   function exchange (now: number): void {
-    keptSums.push({ at: now, sums: mergeEvidence(nodes.map(({ own }) => ({ s: own }))).s! })
-    keptSums[keptSums.length - 1] = { at: now, sums: structuredClone(keptSums.at(-1)!.sums) }
-    keptSums = keptSums.slice(-KEPT_SUMS)
+    retainedSums.push({ at: now, sums: mergeEvidence(nodes.map(({ own }) => ({ s: own }))).s! })
+    retainedSums[retainedSums.length - 1] = { at: now, sums: structuredClone(retainedSums.at(-1)!.sums) }
+    retainedSums = retainedSums.slice(-KEPT_SUMS)
     for (const group of new Set(nodes.map((node) => node.group))) {
       // The message is lost.
       if (random.fraction() > DELIVERY_FRACTION) continue
--- a/test/bound-signal.test.ts
+++ b/test/timeout-signal.test.ts
@@ -3,7 +3,7 @@
 import { describe, it } from 'node:test'
 import { setFlagsFromString } from 'node:v8'
 import { runInNewContext } from 'node:vm'
-import { createTimeoutSignal } from '../src/bound-signal.js'
+import { createTimeoutSignal } from '../src/timeout-signal.js'
 import { createSystemClock } from '../src/clock.js'
 
 setFlagsFromString('--expose-gc')
