--- a/bench/capacity/notes.ts
+++ b/bench/capacity/notes.ts
@@ -22,7 +22,7 @@
   readonly processorMicroseconds: number
 }
 
-/** Batches leave each quarter of a second, as in `entry/note-keeper`. */
+/** Batches leave each quarter of a second, as in `entry/note-receiver`. */
 const BATCHES_PER_SECOND = 4
 
 /** First token after half a second, then 500 tokens at 34 ms. */
@@ -42,13 +42,13 @@
       {
         role: 'notes, at 4 requests/s',
         quantity: 'messages a node, B/s',
-        module: 'entry/note-keeper',
+        module: 'entry/note-receiver',
         points: rates.map(({ nodes, rate }) => ({ nodes, value: 2 * (rate.bytes + rate.batches * OPEN_CONNECTION_PACKET_BYTES) }))
       },
       {
         role: 'notes, at 4 requests/s',
         quantity: 'processor time a node, us/s',
-        module: 'entry/note-keeper',
+        module: 'entry/note-receiver',
         points: rates.map(({ nodes, rate }) => ({ nodes, value: rate.processorMicroseconds }))
       }
     ]
--- a/bench/capacity/planner-lease.ts
+++ b/bench/capacity/planner-lease.ts
@@ -25,7 +25,7 @@
     const line = (quantity: CapacityLine['quantity'], value: (rate: Rates) => number): CapacityLine => ({
       role: 'planner lease',
       quantity,
-      module: 'protocols/lease-keeper',
+      module: 'protocols/lease-manager',
       points: rates.map((rate) => ({ nodes: rate.nodes, value: value(rate) }))
     })
     return [
--- a/spec/request-claim.pml
+++ b/spec/request-claim.pml
@@ -2,7 +2,7 @@
  * One bare idempotency key, sent several times through two nodes, each send under an id of its own. The key
  * is claimed in the key-value service by compare-and-swap before an id is dispatched. Writes may take effect
  * late, also after their sender has given up; replies are lost; the service is down at times; nodes die.
- * src/request/claim.ts and src/entry/claim-keeper.ts follow these steps.
+ * src/request/claim.ts and src/entry/claim-store.ts follow these steps.
  *
  * Checked after each step: at most one id of the key is dispatched, and none whose caller was told "not run".
  *
