--- a/bench/agreement/virtual-clock.ts
+++ b/bench/agreement/virtual-clock.ts
@@ -1,6 +1,6 @@
 /** Virtual time for many copies in one process: whole milliseconds, sleepers in a binary heap. */
 import type { Milliseconds } from '../../src/clock.js'
-import { settle } from '../../stand-ins/manual-clock.js'
+import { flushPromises } from '../../stand-ins/manual-clock.js'
 import type { ManualClock } from '../../stand-ins/manual-clock.js'
 
 interface Sleeper {
@@ -47,10 +47,10 @@
       for (let next = heap[0]; next !== undefined && next.due <= until; next = heap[0]) {
         time = next.due
         while (heap[0] !== undefined && heap[0].due <= time) pop(heap).wake()
-        await settle()
+        await flushPromises()
       }
       time = until
-      await settle()
+      await flushPromises()
     }
   }
 }
--- a/bench/capacity-mix/simulation.ts
+++ b/bench/capacity-mix/simulation.ts
@@ -101,7 +101,7 @@
     const recomputed = recomputedBy(deployment, lost, workOf(before, capacity), tokens)
     policy({ now, recomputed, offers: cloud.offers(), cloud, instances, serving, demand, reclaims })
     await clock.advance(STEP)
-    if (now === WARM_UP) startedBefore = cloud.bought().length
+    if (now === WARM_UP) startedBefore = cloud.startedOrders().length
     if (now < WARM_UP) continue
 
     const live = cloud.list('bench').filter((instance) => instance.state === 'live')
@@ -128,7 +128,7 @@
     worstShare,
     zoneToSpare: spared * STEP / (LENGTH - WARM_UP),
     recomputedPerThousand: 1_000 * totals.recomputed / totals.generated,
-    started: cloud.bought().length - startedBefore
+    started: cloud.startedOrders().length - startedBefore
   }
 }
 
@@ -158,7 +158,7 @@
 /** While a zone's drought lasts, it sells nothing reclaimable. */
 function endDrought (deployment: BenchDeployment, cloud: CloudState, zone: Zone, until: Milliseconds, now: Milliseconds, droughts: Map<Zone, Milliseconds>): void {
   const room = now < until ? 0 : undefined
-  for (const { name } of deployment.machineClasses) cloud.limit({ failureDomain: zone.failureDomain, machineClass: name, market: 'reclaimable' }, room)
+  for (const { name } of deployment.machineClasses) cloud.limitCapacity({ failureDomain: zone.failureDomain, machineClass: name, market: 'reclaimable' }, room)
   if (room === undefined) droughts.delete(zone)
 }
 
--- a/features/steps/planner.steps.ts
+++ b/features/steps/planner.steps.ts
@@ -44,7 +44,7 @@
 
 Given('the cloud sells no reclaimable instance any more', function (this: PlannerStepsWorld) {
   const { state } = this.deployment.cloud
-  for (const offer of state.offers().filter((one) => one.market === 'reclaimable')) state.limit(offer, 0)
+  for (const offer of state.offers().filter((one) => one.market === 'reclaimable')) state.limitCapacity(offer, 0)
 })
 
 When('the cloud takes back the reclaimable instances of {string}', function (this: PlannerStepsWorld, zone: string) {
@@ -62,7 +62,7 @@
 })
 
 Then('the cloud has started {int} engines in all', function (this: PlannerStepsWorld, count: number) {
-  assert.equal(this.deployment.cloud.state.bought().filter((order) => order.service === SERVICE).length, count)
+  assert.equal(this.deployment.cloud.state.startedOrders().filter((order) => order.service === SERVICE).length, count)
 })
 
 Then('one engine of the deployment is on demand', function (this: PlannerStepsWorld) {
--- a/stand-ins/callers.ts
+++ b/stand-ins/callers.ts
@@ -1,4 +1,4 @@
-/** Callers of a sample's organisations: they send its requests through the client and note what they saw. */
+/** Sends the requests of a sample through the client, as its organisations' callers would, and records the outcomes. */
 import { createClient } from '../src/client/index.js'
 import type { Client } from '../src/client/index.js'
 import type { Clock } from '../src/clock.js'
@@ -10,33 +10,33 @@
 import { answerWords } from './engine.js'
 import type { Sample, SampleRequest } from './sample.js'
 
-/** What a caller saw of one request. */
-export type Sight =
+/** Outcome of a request as its caller saw it. */
+export type CallerOutcome =
   | { kind: 'answered', tokens: number }
-  /** An answer came that is not the whole answer to this request. */
+  /** The answer is incomplete or does not belong to the request. */
   | { kind: 'wrong', detail: string }
   | { kind: 'failed', code: FailureCode, verdict: Verdict, message: string }
 
-/** One request and what became of it. */
+/** A request and its outcome. */
 export interface CallerRecord {
   readonly request: SampleRequest
-  readonly sight: Sight
+  readonly outcome: CallerOutcome
 }
 
-/** How requests are sent. */
+/** Options of {@link sendRequests}. */
 export interface SendingOptions {
   readonly sample: Sample
   readonly addresses: readonly Address[]
   readonly clock: Clock
   readonly random: Random
-  /** Requests begun a second. */
+  /** Requests started per second. */
   readonly rate: number
-  /** Called before each request with how many have been sent. */
+  /** Called before each request with the number of requests sent so far. */
   readonly onSend?: (sent: number) => void
 }
 
 /**
- * Sends all requests of a sample in random order at an even pace and waits for their ends.
+ * Sends all requests of a sample in random order at a constant rate and waits until all have ended.
  *
  * @example
  * const records = await sendRequests({ sample, addresses, clock, random, rate: 40 })
@@ -45,20 +45,20 @@
   const { sample, addresses, clock, random } = options
   const clients = new Map(sample.organisations.map(({ name, key }) => [name, createClient({ addresses, key, clock, random })]))
   try {
-    const ends: Promise<CallerRecord>[] = []
+    const pending: Promise<CallerRecord>[] = []
     for (const request of shuffled(sample.requests, random)) {
-      options.onSend?.(ends.length)
-      ends.push(sendOne(clients.get(request.organisation), request))
+      options.onSend?.(pending.length)
+      pending.push(sendRequest(clients.get(request.organisation), request))
       await clock.sleep(SECOND / options.rate)
     }
-    return await Promise.all(ends)
+    return await Promise.all(pending)
   } finally {
     await Promise.all([...clients.values()].map((client) => client.close()))
   }
 }
 
 /**
- * Requests by class and organisation, for tables and comparisons.
+ * Groups records by class and organisation, in order of their names.
  *
  * @example
  * for (const group of groupRecords(records)) print(group.class, group.records.length)
@@ -75,23 +75,23 @@
   return [...groups.entries()].sort(([left], [right]) => left < right ? -1 : 1).map(([, group]) => group)
 }
 
-async function sendOne (client: Client | undefined, request: SampleRequest): Promise<CallerRecord> {
-  if (client === undefined) throw new Error(`no key for ${request.organisation}`)
+async function sendRequest (client: Client | undefined, request: SampleRequest): Promise<CallerRecord> {
+  if (client === undefined) throw new Error(`the sample has no key for organisation ${request.organisation}`)
   try {
-    return { request, sight: 'messages' in request ? await ask(client, request) : await callService(client, request) }
+    return { request, outcome: 'messages' in request ? await sendChat(client, request) : await sendPlainCall(client, request) }
   } catch (error) {
     const { code, verdict, message } = toServingError(error, 'may-have-run')
-    return { request, sight: { kind: 'failed', code, verdict, message } }
+    return { request, outcome: { kind: 'failed', code, verdict, message } }
   }
 }
 
-async function ask (client: Client, request: Extract<SampleRequest, { messages: unknown }>): Promise<Sight> {
+async function sendChat (client: Client, request: Extract<SampleRequest, { messages: unknown }>): Promise<CallerOutcome> {
   const answer = await client.chat({ class: request.class, messages: request.messages, maxTokens: request.max_tokens })
   if (answer.text === answerWords(request.messages, request.max_tokens).join('')) return { kind: 'answered', tokens: answer.tokens }
   return { kind: 'wrong', detail: `${answer.tokens} tokens of ${request.max_tokens}` }
 }
 
-async function callService (client: Client, request: Extract<SampleRequest, { call: unknown }>): Promise<Sight> {
+async function sendPlainCall (client: Client, request: Extract<SampleRequest, { call: unknown }>): Promise<CallerOutcome> {
   const { method, path, body } = request.call
   const answer = await client.call({
     class: request.class,
@@ -107,9 +107,9 @@
   const result = [...items]
   for (let last = result.length - 1; last > 0; last -= 1) {
     const other = random.integer(last + 1)
-    const kept = result[last] as T
+    const swapped = result[last] as T
     result[last] = result[other] as T
-    result[other] = kept
+    result[other] = swapped
   }
   return result
 }
--- a/stand-ins/cloud-state.ts
+++ b/stand-ins/cloud-state.ts
@@ -1,6 +1,6 @@
 /**
- * State of the cloud's stand-in: offers with limited room, instances by name, reclaim waves. No
- * network; the HTTP face and the in-process face both drive it.
+ * State of the cloud stand-in: offers with limited capacity, instances by name, and reclaims. The HTTP
+ * server and the in-process client share this module, which has no network code.
  */
 import { reclaimNoticeSchema } from '../src/capacity/index.js'
 import type { CloudInstance, Offer, ReclaimNotice, StartAnswer, StartOrder } from '../src/capacity/index.js'
@@ -8,38 +8,42 @@
 import type { FailureDomain, InstanceName } from '../src/identifiers.js'
 import type { NoticePage } from '../src/protocols/cloud.js'
 
-/** The cloud's operations; all are immediate. */
+/** Operations of the cloud. All are synchronous. */
 export interface CloudState {
   offers (): readonly Offer[]
-  /** Replaces what is sold; prices may change at any time. */
+  /** Replaces the offers. Instances that already run are not affected. */
   setOffers (offers: readonly Offer[]): void
-  /** Instances that an offer has room for; undefined lifts the limit, 0 refuses every start. */
-  limit (offer: Pick<Offer, 'failureDomain' | 'machineClass' | 'market'>, room: number | undefined): void
+  /** Sets the maximum number of instances of an offer: undefined removes the limit, 0 refuses every start. */
+  limitCapacity (offer: Pick<Offer, 'failureDomain' | 'machineClass' | 'market'>, limit: number | undefined): void
+  /** Starts an instance. A repeated order with the same name starts nothing and returns the existing instance. */
   start (order: StartOrder): StartAnswer
+  /** Ends an instance. Its name cannot be started again. */
   release (name: InstanceName): void
+  /** Instances of a group that have not ended. */
   list (group: string): readonly CloudInstance[]
-  /** Gives notice to instances; they end after it. */
+  /** Sends reclaim notices for instances, which end when the notice time is over. */
   reclaim (names: readonly InstanceName[], notice: Milliseconds): void
-  /** Gives notice to the reclaimable instances of a failure domain. */
+  /** Reclaims all reclaimable instances of a failure domain. */
   reclaimDomain (failureDomain: FailureDomain, notice: Milliseconds): void
+  /** Reclaim notices with a sequence number greater than `after`. */
   notices (after: number): NoticePage
-  /** Start orders that made a new instance; a test counts what was bought. */
-  bought (): readonly StartOrder[]
-  /** Applies what time has brought: instances that became live or ended. */
-  settle (): void
+  /** Start orders that created an instance, so that tests can count the instances that were bought. */
+  startedOrders (): readonly StartOrder[]
+  /** Updates the state to the current time: reports instances that have become live and removes ended ones. */
+  updateToNow (): void
 }
 
-/** What the owner of the state does when an instance begins or ends. */
+/** Callbacks for instances that become live or end. */
 export interface CloudEvents {
   started? (instance: CloudInstance): void
   ended? (instance: CloudInstance): void
 }
 
-interface Machine {
+interface StoredInstance {
   readonly order: StartOrder
   readonly liveAt: Milliseconds
   endsAt: Milliseconds
-  announced: boolean
+  isReported: boolean
 }
 
 interface StoredNotice {
@@ -49,108 +53,110 @@
 }
 
 /**
- * @param options.startTime time from a start order until the instance is live, in milliseconds
+ * Creates a cloud without instances.
+ *
+ * @param options.startTime time from a start order until the instance is live
  * @example
  * const cloud = createCloudState({ clock, offers, startTime: 0 })
  */
 export function createCloudState (options: { clock: Clock, offers: readonly Offer[], startTime: Milliseconds, events?: CloudEvents }): CloudState {
   const { clock, events } = options
-  const machines = new Map<InstanceName, Machine>()
-  const ended = new Set<InstanceName>()
-  const rooms = new Map<string, number>()
+  const instances = new Map<InstanceName, StoredInstance>()
+  const endedNames = new Set<InstanceName>()
+  const limits = new Map<string, number>()
   const notices: StoredNotice[] = []
-  const bought: StartOrder[] = []
+  const startedOrders: StartOrder[] = []
   let offers = options.offers
 
-  function settle (): void {
+  function updateToNow (): void {
     const now = clock.now()
-    for (const machine of machines.values()) {
-      if (!machine.announced && machine.liveAt <= now) {
-        machine.announced = true
-        events?.started?.(toInstance(machine, now))
+    for (const instance of instances.values()) {
+      if (!instance.isReported && instance.liveAt <= now) {
+        instance.isReported = true
+        events?.started?.(toCloudInstance(instance, now))
       }
-      if (machine.endsAt <= now) end(machine)
+      if (instance.endsAt <= now) endInstance(instance)
     }
   }
 
-  function end (machine: Machine): void {
-    machines.delete(machine.order.name)
-    ended.add(machine.order.name)
-    if (machine.announced) events?.ended?.(toInstance(machine, clock.now()))
+  function endInstance (instance: StoredInstance): void {
+    instances.delete(instance.order.name)
+    endedNames.add(instance.order.name)
+    if (instance.isReported) events?.ended?.(toCloudInstance(instance, clock.now()))
   }
 
   function refusal (order: StartOrder): string | undefined {
-    const key = keyOf(order)
-    if (!offers.some((offer) => keyOf(offer) === key)) return 'no such offer'
-    const room = rooms.get(key)
-    const used = [...machines.values()].filter((machine) => keyOf(machine.order) === key).length
-    return room !== undefined && used >= room ? 'insufficient capacity' : undefined
+    const key = offerKey(order)
+    if (!offers.some((offer) => offerKey(offer) === key)) return 'no such offer'
+    const limit = limits.get(key)
+    const used = [...instances.values()].filter((instance) => offerKey(instance.order) === key).length
+    return limit !== undefined && used >= limit ? 'insufficient capacity' : undefined
   }
 
   function reclaim (names: readonly InstanceName[], notice: Milliseconds): void {
     const endsAt = clock.now() + notice
     for (const name of names) {
-      const machine = machines.get(name)
-      if (machine === undefined) continue
-      machine.endsAt = Math.min(machine.endsAt, endsAt)
-      notices.push({ sequence: notices.length + 1, order: machine.order, endsAt: machine.endsAt })
+      const instance = instances.get(name)
+      if (instance === undefined) continue
+      instance.endsAt = Math.min(instance.endsAt, endsAt)
+      notices.push({ sequence: notices.length + 1, order: instance.order, endsAt: instance.endsAt })
     }
-    settle()
+    updateToNow()
   }
 
   return {
-    settle,
+    updateToNow,
     reclaim,
     offers: () => offers,
     setOffers: (changed) => { offers = changed },
-    limit: (offer, room) => {
-      if (room === undefined) rooms.delete(keyOf(offer))
-      else rooms.set(keyOf(offer), room)
+    limitCapacity: (offer, limit) => {
+      if (limit === undefined) limits.delete(offerKey(offer))
+      else limits.set(offerKey(offer), limit)
     },
     start: (order) => {
-      settle()
-      if (ended.has(order.name)) return { kind: 'ended' }
-      const known = machines.get(order.name)
-      if (known !== undefined) return { kind: 'started', instance: toInstance(known, clock.now()) }
+      updateToNow()
+      if (endedNames.has(order.name)) return { kind: 'ended' }
+      const existing = instances.get(order.name)
+      if (existing !== undefined) return { kind: 'started', instance: toCloudInstance(existing, clock.now()) }
       const reason = refusal(order)
       if (reason !== undefined) return { kind: 'refused', reason }
-      const machine = { order, liveAt: clock.now() + options.startTime, endsAt: Infinity, announced: false }
-      machines.set(order.name, machine)
-      bought.push(order)
-      settle()
-      return { kind: 'started', instance: toInstance(machine, clock.now()) }
+      const instance = { order, liveAt: clock.now() + options.startTime, endsAt: Infinity, isReported: false }
+      instances.set(order.name, instance)
+      startedOrders.push(order)
+      updateToNow()
+      return { kind: 'started', instance: toCloudInstance(instance, clock.now()) }
     },
     release: (name) => {
-      settle()
-      ended.add(name)
-      const machine = machines.get(name)
-      if (machine !== undefined) end(machine)
+      updateToNow()
+      endedNames.add(name)
+      const instance = instances.get(name)
+      if (instance !== undefined) endInstance(instance)
     },
     list: (group) => {
-      settle()
-      const own = [...machines.values()].filter((machine) => machine.order.group === group)
-      return own.map((machine) => toInstance(machine, clock.now()))
+      updateToNow()
+      const own = [...instances.values()].filter((instance) => instance.order.group === group)
+      return own.map((instance) => toCloudInstance(instance, clock.now()))
     },
     reclaimDomain: (failureDomain, notice) => {
-      const taken = [...machines.values()].filter(({ order }) => order.failureDomain === failureDomain && order.market === 'reclaimable')
-      reclaim(taken.map((machine) => machine.order.name), notice)
+      const reclaimed = [...instances.values()].filter(({ order }) => order.failureDomain === failureDomain && order.market === 'reclaimable')
+      reclaim(reclaimed.map((instance) => instance.order.name), notice)
     },
     notices: (after) => {
-      settle()
+      updateToNow()
       const page = notices.slice(Math.max(0, after))
       return { notices: page.map((notice) => toNotice(notice, clock.now())), next: notices.length }
     },
-    bought: () => bought
+    startedOrders: () => startedOrders
   }
 }
 
-function keyOf (offer: Pick<Offer, 'failureDomain' | 'machineClass' | 'market'>): string {
+function offerKey (offer: Pick<Offer, 'failureDomain' | 'machineClass' | 'market'>): string {
   return `${offer.failureDomain}/${offer.machineClass}/${offer.market}`
 }
 
-function toInstance (machine: Machine, now: Milliseconds): CloudInstance {
-  if (machine.endsAt !== Infinity) return { ...machine.order, state: 'reclaiming' }
-  return { ...machine.order, state: machine.liveAt <= now ? 'live' : 'starting' }
+function toCloudInstance (instance: StoredInstance, now: Milliseconds): CloudInstance {
+  if (instance.endsAt !== Infinity) return { ...instance.order, state: 'reclaiming' }
+  return { ...instance.order, state: instance.liveAt <= now ? 'live' : 'starting' }
 }
 
 function toNotice (notice: StoredNotice, now: Milliseconds): ReclaimNotice {
--- a/stand-ins/cloud.ts
+++ b/stand-ins/cloud.ts
@@ -1,4 +1,4 @@
-/** HTTP face of the cloud's stand-in. */
+/** HTTP server and in-process client of the cloud stand-in. */
 import { startOrderSchema } from '../src/capacity/index.js'
 import type { Offer } from '../src/capacity/index.js'
 import type { Clock, Milliseconds } from '../src/clock.js'
@@ -19,20 +19,23 @@
   readonly faultSwitch: FaultSwitch
 }
 
-/** Settings of the stand-in. */
+/** Options of the cloud stand-in. */
 export interface CloudOptions {
   readonly port: number
   readonly clock: Clock
   readonly random: Random
   readonly offers: readonly Offer[]
-  /** Time from a start order until the instance is live, in milliseconds. */
+  /** Time from a start order until the instance is live. */
   readonly startTime: Milliseconds
   readonly events?: CloudEvents
 }
 
-const SETTLE_PERIOD: Milliseconds = SECOND / 10
+/** Interval at which the state follows the clock without a call. */
+const UPDATE_PERIOD: Milliseconds = SECOND / 10
 
 /**
+ * Starts a cloud stand-in.
+ *
  * @example
  * const cloud = await serveCloud({ port: 0, clock, random, offers, startTime: 0 })
  * cloud.state.reclaimDomain(failureDomain, 5 * SECOND)
@@ -41,21 +44,21 @@
   const state = createCloudState(options)
   const faultSwitch = createFaultSwitch(options.clock, options.random)
   const server = await serveStandIn(options.port, options.clock, faultSwitch, (call) => handle(state, call))
-  const settling = setInterval(() => state.settle(), SETTLE_PERIOD)
-  settling.unref()
+  const updateTimer = setInterval(() => state.updateToNow(), UPDATE_PERIOD)
+  updateTimer.unref()
   return {
     ...server,
     state,
     faultSwitch,
     kill: () => {
-      clearInterval(settling)
+      clearInterval(updateTimer)
       return server.kill()
     }
   }
 }
 
 /**
- * The stand-in as the system uses the cloud, without a network.
+ * Creates an in-process client of the stand-in, without a network.
  *
  * @example
  * const offers = await createInProcessCloud(state).offers()
--- a/stand-ins/control.ts
+++ b/stand-ins/control.ts
@@ -1,4 +1,4 @@
-/** Control of a running stand-in platform by a person: what there is, reclaims, faults, the ledger. */
+/** HTTP interface through which a person controls a running stand-in platform: upstreams, reclaims, faults, the ledger. */
 import * as z from 'zod'
 import type { Clock } from '../src/clock.js'
 import { failureDomainSchema, instanceNameSchema, upstreamNameSchema } from '../src/identifiers.js'
@@ -18,15 +18,15 @@
 
 const faultsSchema = z.strictObject({
   target: z.union([z.enum(['key-value', 'instance-list', 'cloud', 'weight-store']), upstreamNameSchema]),
-  /** Names and values as in the stand-in's faults; null switches off. */
+  /** Names and values as in the faults of the stand-in. Null turns a fault off. */
   faults: z.record(z.string(), faultValueSchema)
 })
 
 /**
- * Serves the control on a loopback port.
+ * Serves the control interface on a loopback port.
  *
- * - `GET /upstreams`: names, addresses, open requests, starts.
- * - `GET /ledger`: how often each order ran.
+ * - `GET /upstreams`: for each upstream its name, address, instance, open requests and started requests.
+ * - `GET /ledger`: number of runs of each order.
  * - `POST /reclaim` with `instances` or `failure_domain`, and `notice_ms`.
  * - `POST /faults` with `target` and `faults`.
  *
@@ -72,7 +72,7 @@
 
 type Faults = Record<string, unknown>
 
-/** Faults of a stand-in: its own, and those of its network face. */
+/** Fault objects of a stand-in: its own faults, where it has any, and its network faults. */
 function faultsOf ({ keyValue, instanceList, cloud, weightStore, fleet }: Platform, target: string): Faults[] {
   switch (target) {
     case 'key-value': return [keyValue.faultSwitch.faults as unknown as Faults]
--- a/stand-ins/deployment.ts
+++ b/stand-ins/deployment.ts
@@ -1,4 +1,4 @@
-/** A whole small deployment in one process: platform stand-ins, upstreams and entry nodes. */
+/** A small complete deployment in one process: platform stand-ins, upstreams and entry nodes. */
 import type { Clock } from '../src/clock.js'
 import { configurationRevisionSchema } from '../src/configuration/index.js'
 import type { Configuration } from '../src/configuration/index.js'
@@ -21,19 +21,19 @@
 import type { EngineShapeSample, PlatformSample } from './platform-sample.js'
 import type { BookingLedger, PlainServiceStandIn } from './plain-service.js'
 
-/** How large a deployment is and how it behaves. */
+/** Options of a deployment. */
 export interface DeploymentOptions {
   readonly clock: Clock
   readonly seed: number
   readonly entries: number
   readonly engines: number
-  /** Processes of the plain service. Default 0. */
+  /** Number of processes of the plain service. Default 0. */
   readonly plainServices?: number
   readonly logLevel: 'info' | 'warn' | 'silent'
   readonly engineShape?: EngineShapeSample
   /** Whether engines refuse orders with an older fencing number. Default true. */
   readonly checkFencing?: boolean
-  /** Changes to each entry's settings, as its TOML file would have them. */
+  /** Settings that replace the defaults of each entry node, with names as in its TOML file. */
   readonly entrySettings?: Readonly<Record<string, unknown>>
 }
 
@@ -45,9 +45,9 @@
   readonly cloud: CloudStandIn
   readonly fleet: Fleet
   readonly ledger: BookingLedger
-  /** Engines of the start, dead ones included. */
+  /** Engines started with the deployment, dead ones included. */
   readonly engines: readonly EngineStandIn[]
-  /** Plain services of the start, dead ones included. */
+  /** Plain services started with the deployment, dead ones included. */
   readonly plainServices: readonly PlainServiceStandIn[]
   readonly entries: readonly EntryNode[]
   readonly addresses: readonly Address[]
@@ -56,14 +56,14 @@
   /** Bearer key of the organisation `ribeira`. */
   readonly otherKey: string
   readonly operatorKey: string
-  /** Starts one more entry node. */
+  /** Starts another entry node. */
   addEntry (): Promise<EntryNode>
   kill (): Promise<void>
 }
 
-const DOMAINS = ['zone-a', 'zone-b', 'zone-c']
-const KEY = 'tejo-key-for-demonstration'
-const OTHER_KEY = 'ribeira-key-for-demonstration'
+const FAILURE_DOMAINS = ['zone-a', 'zone-b', 'zone-c']
+const TEJO_KEY = 'tejo-key-for-demonstration'
+const RIBEIRA_KEY = 'ribeira-key-for-demonstration'
 const OPERATOR_KEY = 'operator-key'
 const PEER_KEY = 'peer-key-for-demonstration'
 const MODEL = 'assistant-7b'
@@ -94,8 +94,8 @@
     plainServices: platform.fleet.plainServices(),
     entries,
     addresses: entries.map((entry) => entry.address),
-    key: KEY,
-    otherKey: OTHER_KEY,
+    key: TEJO_KEY,
+    otherKey: RIBEIRA_KEY,
     operatorKey: OPERATOR_KEY,
     addEntry,
     kill: async () => {
@@ -106,7 +106,7 @@
 }
 
 /**
- * Puts a first revision straight into the key-value stand-in, as if operators had applied it.
+ * Writes a first configuration revision directly into the key-value stand-in, as if an operator had applied it.
  *
  * @example
  * storeConfiguration(platform.keyValue, configuration)
@@ -127,9 +127,9 @@
   const plain = options.plainServices ?? 0
   return platformSampleSchema.parse({
     group: 'sample',
-    failure_domains: DOMAINS,
+    failure_domains: FAILURE_DOMAINS,
     weight_store: { bytes_per_ms: 1_000_000, models: [{ model: MODEL, bytes: 1_000_000 }] },
-    offers: DOMAINS.flatMap((domain) => [
+    offers: FAILURE_DOMAINS.flatMap((domain) => [
       { failure_domain: domain, machine_class: 'accelerated', market: 'reclaimable', price_per_hour: 1 },
       { failure_domain: domain, machine_class: 'accelerated', market: 'on-demand', price_per_hour: 3 },
       { failure_domain: domain, machine_class: 'general', market: 'reclaimable', price_per_hour: 0.1 },
@@ -145,7 +145,7 @@
 function entrySettings (platform: Platform, options: DeploymentOptions, index: number): EntrySettings {
   return entrySettingsSchema.parse({
     instance: `entry-${index + 1}`,
-    failure_domain: DOMAINS[index % DOMAINS.length],
+    failure_domain: FAILURE_DOMAINS[index % FAILURE_DOMAINS.length],
     listen: '127.0.0.1:0',
     peer_listen: '127.0.0.1:0',
     log_level: options.logLevel,
@@ -157,7 +157,7 @@
 }
 
 /**
- * Where a platform's services answer, as entries and planners have it in their settings.
+ * Returns the addresses of a platform's services in the form of the settings of entry nodes and planners.
  *
  * @example
  * entrySettingsSchema.parse({ ...settings, platform: platformSettings(platform) })
@@ -180,8 +180,8 @@
       { kind: 'plain', name: 'dispatch' }
     ],
     organisations: [
-      { name: 'tejo', key_sha256: [sha256(KEY)] },
-      { name: 'ribeira', key_sha256: [sha256(OTHER_KEY)] }
+      { name: 'tejo', key_sha256: [sha256(TEJO_KEY)] },
+      { name: 'ribeira', key_sha256: [sha256(RIBEIRA_KEY)] }
     ],
     classes: [
       { name: 'service-plan', service: 'servicing-assistant', idempotent: true, target: { ...modelTarget, whole_answer_ms: 30_000 } },
--- a/stand-ins/engine.ts
+++ b/stand-ins/engine.ts
@@ -1,8 +1,8 @@
 /**
- * A model engine's stand-in: continuous batching, a prefix cache in limited memory, priorities,
- * resumable and cancellable streams, cache export, lagging load, a cache feed with gaps, and orders
- * with or without fencing. Its answers are a function of the prompt, so that any caller can tell a
- * whole answer of its own from anything else.
+ * Stand-in of a model engine: continuous batching, a prefix cache in limited memory, priorities,
+ * resumable and cancellable streams, cache export, load reports with a lag, a feed of cache events with
+ * gaps, and orders with or without fencing. An answer is a function of the prompt, so that a caller can
+ * check that an answer is complete and its own.
  */
 import { engineOrderSchema } from '../src/protocols/engine.js'
 import { createConnections } from '../src/protocols/http.js'
@@ -42,10 +42,11 @@
 /**
  * Starts an engine.
  *
- * - An answer outlives its connections; it goes on until it is whole, cancelled or moved.
- * - An export holds the answer at its offset. When it succeeds, the answer goes on at the target under
- *   the returned handle, and connections here stay open and silent; when it fails, it goes on here.
- * - A prompt with {@link CRASH_MARK} kills the process once the prompt has been computed.
+ * - An answer is generated independently of its connections until it is complete, cancelled or moved.
+ * - An export pauses the answer at its offset. After a successful export the answer continues at the target
+ *   under the returned handle, and connections to this engine stay open and silent. After a failed export
+ *   the answer continues here.
+ * - A prompt that contains {@link CRASH_MARK} kills the engine when its prefill is complete.
  *
  * @example
  * const engine = await serveEngine({ port: 0, upstream, clock, random })
@@ -53,11 +54,11 @@
 export async function serveEngine (options: EngineOptions): Promise<EngineStandIn> {
   const { clock, upstream, random } = options
   const shape = { ...DEFAULT_SHAPE, ...options.shape }
-  const owner = new AbortController()
-  const { signal } = owner
+  const lifetime = new AbortController()
+  const { signal } = lifetime
   const connections = createConnections(4)
   const faultSwitch = createFaultSwitch(clock, random)
-  const faults = noFaults()
+  const faults = createFaults()
   const tokens: EngineTokens = { prompt: 0, cached: 0, recomputed: 0, generated: 0, imported: 0 }
   const started: string[] = []
   const deathListeners = new Set<() => void>()
@@ -78,7 +79,7 @@
     signal
   })
 
-  async function start (call: StandInCall): Promise<undefined> {
+  async function startAnswer (call: StandInCall): Promise<undefined> {
     const body = parseCall(engineBodySchema, call)
     refuseIfUnable(body)
     started.push(call.body.toString('utf8'))
@@ -116,7 +117,7 @@
     const [, , kind, name, action] = call.path.split('/')
     if (kind === 'streams' && name !== undefined) return handleStream(call, decodeURIComponent(name), action)
     switch (`${call.method} ${call.path}`) {
-      case 'POST /v1/chat/completions': return start(call)
+      case 'POST /v1/chat/completions': return startAnswer(call)
       case 'GET /v1/load': return loadReport()
       case 'GET /v1/cache/events': return feed.after(Number(call.query.get('after') ?? 0))
       case 'POST /v1/cache/export': return movement.exportStream(call)
@@ -128,7 +129,7 @@
 
   async function kill (): Promise<void> {
     if (signal.aborted) return
-    owner.abort()
+    lifetime.abort()
     for (const listener of deathListeners) listener()
     await Promise.all([server.kill(), connections.destroy()])
   }
@@ -153,7 +154,7 @@
   }
 }
 
-function noFaults (): EngineFaults {
+function createFaults (): EngineFaults {
   return {
     refuse: false,
     slowdown: 1,
--- a/stand-ins/entry-fleet.ts
+++ b/stand-ins/entry-fleet.ts
@@ -1,6 +1,6 @@
 /**
- * Entry nodes on the machines of a stand-in platform: each has an instance that the cloud can take
- * back and that the instance list shows, and dies with it.
+ * Entry nodes on instances of a stand-in platform. The instance list contains each node's instance; the
+ * cloud can reclaim the instance, and its end kills the node.
  */
 import { startOrderSchema } from '../src/capacity/index.js'
 import type { Clock, Milliseconds } from '../src/clock.js'
@@ -21,55 +21,58 @@
   kill (): Promise<void>
 }
 
-/** What an entry fleet runs on. */
+/** Options of an entry fleet. */
 export interface EntryFleetOptions {
   readonly platform: Platform
   readonly clock: Clock
   readonly seed: number
-  /** Group that the cloud keeps the entries' instances in; planners leave it alone. */
+  /** Cloud group of the entry nodes' instances. Planners do not manage this group. */
   readonly group: string
   readonly machineClass: string
 }
 
-interface Place {
+interface RunningEntry {
   readonly settings: EntrySettings
   readonly entry: EntryNode
 }
 
+/** Interval at which the nodes and the instance list are synchronised with the cloud. */
 const SYNC_PERIOD: Milliseconds = 50
 
 /**
+ * Creates a fleet without nodes.
+ *
  * @example
  * const fleet = createEntryFleet({ platform, clock, seed: 1, group: 'entries', machineClass: 'general' })
  * await fleet.add(settings)
  */
 export function createEntryFleet (options: EntryFleetOptions): EntryFleet {
   const { platform, clock, group } = options
-  const owner = new AbortController()
+  const lifetime = new AbortController()
   const entries: EntryNode[] = []
-  const places = new Map<string, Place>()
-  let listed = ''
+  const running = new Map<string, RunningEntry>()
+  let lastFingerprint = ''
 
-  /** Ends the nodes whose machines have ended and shows the rest as the cloud has them. */
-  function sync (): void {
-    const machines = new Map(platform.cloud.state.list(group).map((machine) => [machine.name as string, machine.state]))
-    for (const [name, place] of places) {
-      if (machines.has(name)) continue
-      places.delete(name)
-      place.entry.kill().catch(() => {})
+  /** Kills the nodes whose instances have ended and updates the instance list with the states of the others. */
+  function synchronise (): void {
+    const states = new Map(platform.cloud.state.list(group).map((instance) => [instance.name as string, instance.state]))
+    for (const [name, node] of running) {
+      if (states.has(name)) continue
+      running.delete(name)
+      node.entry.kill().catch(() => {})
     }
-    show([...places.values()].map((place) => toInstance(place, machines.get(place.settings.instance) === 'reclaiming', options.machineClass)))
+    updateInstanceList([...running.values()].map((node) => toInstance(node, states.get(node.settings.instance) === 'reclaiming', options.machineClass)))
   }
 
-  function show (instances: readonly Instance[]): void {
+  function updateInstanceList (instances: readonly Instance[]): void {
     const fingerprint = JSON.stringify(instances)
-    if (fingerprint === listed) return
-    listed = fingerprint
+    if (fingerprint === lastFingerprint) return
+    lastFingerprint = fingerprint
     const others = platform.instanceList.current().filter((instance) => instance.role.kind !== 'entry')
     platform.instanceList.set([...others, ...instances])
   }
 
-  every(clock, SYNC_PERIOD, owner.signal, sync, () => {}).catch(() => {})
+  every(clock, SYNC_PERIOD, lifetime.signal, synchronise, () => {}).catch(() => {})
 
   return {
     entries,
@@ -82,21 +85,21 @@
         machineClass: options.machineClass,
         market: 'reclaimable'
       }))
-      if (answer.kind !== 'started') throw new Error(`the cloud does not start ${settings.instance}: ${answer.kind}`)
+      if (answer.kind !== 'started') throw new Error(`the cloud did not start the instance ${settings.instance}: ${answer.kind}`)
       const entry = await startEntryNode({ settings, clock, random: createRandom(options.seed + entries.length + 1) })
       entries.push(entry)
-      places.set(settings.instance, { settings, entry })
-      sync()
+      running.set(settings.instance, { settings, entry })
+      synchronise()
       return entry
     },
     kill: async () => {
-      owner.abort()
+      lifetime.abort()
       await Promise.all(entries.map((entry) => entry.kill()))
     }
   }
 }
 
-function toInstance ({ settings, entry }: Place, leaving: boolean, machineClass: string): Instance {
+function toInstance ({ settings, entry }: RunningEntry, leaving: boolean, machineClass: string): Instance {
   return instanceSchema.parse({
     name: settings.instance,
     failureDomain: settings.failure_domain,
--- a/stand-ins/faults.ts
+++ b/stand-ins/faults.ts
@@ -1,34 +1,36 @@
-/** Faults of a stand-in's network face, switched while it runs. */
+/** Network faults of a stand-in. They can be changed while it runs. */
 import type { Clock, Milliseconds } from '../src/clock.js'
 import type { Random } from '../src/random.js'
 
-/** What goes wrong. Shares are probabilities in [0, 1]. */
+/** Active network faults. */
 export interface Faults {
-  /** Added to each answer. */
+  /** Delay added to each answer. */
   latency: Milliseconds
   /** Every call fails before it takes effect. */
   down: boolean
-  /** Share of calls that take effect but whose reply is lost. */
+  /** Probability in [0, 1] that a call takes effect and its reply is lost. */
   lostReplies: number
-  /** Calls a second beyond which the service answers 429; none when undefined. */
+  /** Maximum number of calls per second; the service answers further ones with 429. No limit when undefined. */
   rate: number | undefined
-  /** Connections stay open and nothing is ever answered. */
+  /** Connections stay open, and no call is answered. */
   silent: boolean
 }
 
-/** Faults and what was seen of them. */
+/** Faults of a stand-in, with the number of its calls. */
 export interface FaultSwitch {
   readonly faults: Faults
-  /** Calls since the start. */
+  /** Number of calls so far. */
   calls (): number
-  /** Decides the fate of one call and counts it. */
-  next (): Fate
+  /** Counts a call and decides how it is handled. */
+  next (): CallDecision
 }
 
-/** Fate of one call. */
-export type Fate = 'answer' | 'refuse' | 'lose-reply' | 'over-rate' | 'silence'
+/** How a call is handled. */
+export type CallDecision = 'answer' | 'refuse' | 'lose-reply' | 'over-rate' | 'silence'
 
 /**
+ * Creates a switch with all faults off.
+ *
  * @example
  * const faultSwitch = createFaultSwitch(clock, createRandom(1))
  * faultSwitch.faults.down = true
@@ -39,7 +41,7 @@
   let windowStart = clock.now()
   let windowCalls = 0
 
-  function overRate (): boolean {
+  function countAndCheckRate (): boolean {
     if (clock.now() - windowStart >= 1_000) {
       windowStart = clock.now()
       windowCalls = 0
@@ -53,10 +55,10 @@
     calls: () => calls,
     next: () => {
       calls += 1
-      const over = overRate()
+      const isOverRate = countAndCheckRate()
       if (faults.silent) return 'silence'
       if (faults.down) return 'refuse'
-      if (over) return 'over-rate'
+      if (isOverRate) return 'over-rate'
       if (faults.lostReplies > 0 && random.fraction() < faults.lostReplies) return 'lose-reply'
       return 'answer'
     }
--- a/stand-ins/fleet.ts
+++ b/stand-ins/fleet.ts
@@ -1,6 +1,6 @@
 /**
- * The machines of a stand-in platform and what runs on them: an instance that the cloud starts boots
- * its server, a notice marks it as leaving in the instance list, and its end kills the server.
+ * Servers on the instances of a stand-in platform. The start of an instance boots its server, a reclaim
+ * notice marks the instance as leaving in the instance list, and the end of the instance kills the server.
  */
 import type { CloudInstance } from '../src/capacity/index.js'
 import type { Clock, Milliseconds } from '../src/clock.js'
@@ -19,27 +19,27 @@
 import type { BookingLedger, PlainServiceStandIn } from './plain-service.js'
 import type { WeightStoreStandIn } from './weight-store.js'
 
-/** A server on a machine. */
+/** Server on an instance. */
 export type Server =
   | { kind: 'engine', service: ServiceName, engine: EngineStandIn }
   | { kind: 'plain', service: ServiceName, plain: PlainServiceStandIn }
 
-/** The machines of a deployment's upstreams. */
+/** Servers of a deployment's upstreams. */
 export interface Fleet {
   engines (): readonly EngineStandIn[]
   plainServices (): readonly PlainServiceStandIn[]
-  /** Every engine that was ever booted, dead ones included. */
-  everyEngine (): readonly EngineStandIn[]
-  /** Boots the server of a machine that the cloud has started. */
-  boot (machine: CloudInstance): Promise<void>
-  /** Kills the server of a machine that has ended. */
-  end (machine: CloudInstance): void
-  /** Machine that an upstream runs on. */
+  /** All engines that have been booted, dead ones included. */
+  allEngines (): readonly EngineStandIn[]
+  /** Boots the server of an instance that the cloud has started. */
+  boot (instance: CloudInstance): Promise<void>
+  /** Kills the server of an instance that has ended. */
+  end (instance: CloudInstance): void
+  /** Name of the instance that an upstream runs on. */
   instanceOf (upstream: UpstreamName): InstanceName
   kill (): Promise<void>
 }
 
-/** What a fleet is made of. */
+/** Options of a fleet. */
 export interface FleetOptions {
   readonly clock: Clock
   readonly random: Random
@@ -53,66 +53,68 @@
   readonly signal: AbortSignal
 }
 
-interface Place {
+interface RunningServer {
   readonly machine: CloudInstance
   readonly server: Server
 }
 
-/** How often the list is brought in line with the cloud. */
+/** Interval at which the instance list is synchronised with the cloud. */
 const SYNC_PERIOD: Milliseconds = 50
 
 const INSTANCE_PREFIX = 'instance-'
 
 /**
+ * Creates a fleet without servers.
+ *
  * @example
  * const fleet = createFleet(options)
- * await fleet.boot(machine)
+ * await fleet.boot(instance)
  */
 export function createFleet (options: FleetOptions): Fleet {
   const { clock, instanceList, signal } = options
-  const places = new Map<InstanceName, Place>()
-  const booted = new Map<ServiceName, number>()
-  const everyEngine: EngineStandIn[] = []
-  let listed = ''
-
-  /** Shows the machines as the cloud has them; a machine under notice is leaving. */
-  function sync (): void {
-    const reclaiming = new Set(options.cloud().list(options.group).filter((machine) => machine.state === 'reclaiming').map((machine) => machine.name))
+  const running = new Map<InstanceName, RunningServer>()
+  const bootCounts = new Map<ServiceName, number>()
+  const bootedEngines: EngineStandIn[] = []
+  let lastFingerprint = ''
+
+  /** Updates the instance list. An instance that is being reclaimed is listed as leaving. */
+  function synchronise (): void {
+    const reclaiming = new Set(options.cloud().list(options.group).filter((instance) => instance.state === 'reclaiming').map((instance) => instance.name))
     const others = instanceList.current().filter((instance) => instance.role.kind !== 'upstream')
-    const upstreams = [...places.values()].map((place) => toInstance(place, reclaiming.has(place.machine.name)))
+    const upstreams = [...running.values()].map((entry) => toInstance(entry, reclaiming.has(entry.machine.name)))
     const fingerprint = JSON.stringify(upstreams)
-    if (fingerprint === listed) return
-    listed = fingerprint
+    if (fingerprint === lastFingerprint) return
+    lastFingerprint = fingerprint
     instanceList.set([...others, ...upstreams])
   }
 
-  async function boot (machine: CloudInstance): Promise<void> {
-    const group = options.groups.find((candidate) => candidate.service === machine.service)
-    if (group === undefined || places.has(machine.name)) return
-    const index = booted.get(machine.service) ?? 0
-    booted.set(machine.service, index + 1)
+  async function boot (instance: CloudInstance): Promise<void> {
+    const group = options.groups.find((candidate) => candidate.service === instance.service)
+    if (group === undefined || running.has(instance.name)) return
+    const index = bootCounts.get(instance.service) ?? 0
+    bootCounts.set(instance.service, index + 1)
     if (options.serverStart > 0) await clock.sleep(options.serverStart, signal)
-    const server = await serve(options, group, machine, index)
-    places.set(machine.name, { machine, server })
-    if (server.kind === 'engine') everyEngine.push(server.engine)
-    sync()
+    const server = await serve(options, group, instance, index)
+    running.set(instance.name, { machine: instance, server })
+    if (server.kind === 'engine') bootedEngines.push(server.engine)
+    synchronise()
   }
 
-  function end (machine: CloudInstance): void {
-    const place = places.get(machine.name)
-    places.delete(machine.name)
-    if (place !== undefined) killServer(place.server).catch(() => {})
-    sync()
+  function end (instance: CloudInstance): void {
+    const entry = running.get(instance.name)
+    running.delete(instance.name)
+    if (entry !== undefined) killServer(entry.server).catch(() => {})
+    synchronise()
   }
 
-  every(clock, SYNC_PERIOD, signal, sync, () => {}).catch(() => {})
+  every(clock, SYNC_PERIOD, signal, synchronise, () => {}).catch(() => {})
 
-  const servers = (): Server[] => [...places.values()].map((place) => place.server)
+  const servers = (): Server[] => [...running.values()].map((entry) => entry.server)
   return {
     boot,
     end,
     engines: () => servers().flatMap((server) => server.kind === 'engine' ? [server.engine] : []),
-    everyEngine: () => everyEngine,
+    allEngines: () => bootedEngines,
     plainServices: () => servers().flatMap((server) => server.kind === 'plain' ? [server.plain] : []),
     instanceOf: (upstream) => instanceNameSchema.parse(INSTANCE_PREFIX + upstream),
     kill: async () => { await Promise.all(servers().map(killServer)) }
@@ -120,7 +122,7 @@
 }
 
 /**
- * Name of the machine that an upstream of the start runs on.
+ * Returns the name of the instance of an upstream that is started with the platform.
  *
  * @example
  * initialInstance('engine', 1) // 'instance-engine-1'
@@ -129,10 +131,10 @@
   return instanceNameSchema.parse(`${INSTANCE_PREFIX}${kind}-${number}`)
 }
 
-async function serve (options: FleetOptions, group: UpstreamGroup, machine: CloudInstance, index: number): Promise<Server> {
+async function serve (options: FleetOptions, group: UpstreamGroup, instance: CloudInstance, index: number): Promise<Server> {
   const { clock, random } = options
-  const upstream = upstreamNameSchema.parse(machine.name.startsWith(INSTANCE_PREFIX) ? machine.name.slice(INSTANCE_PREFIX.length) : machine.name)
-  // Servers that are started later take any port: fixed ones are for those of the start.
+  const upstream = upstreamNameSchema.parse(instance.name.startsWith(INSTANCE_PREFIX) ? instance.name.slice(INSTANCE_PREFIX.length) : instance.name)
+  // Only the servers that are started with the platform have fixed ports.
   const port = group.first_port === 0 || index >= group.count ? 0 : group.first_port + index
   if (group.protocol === 'plain') {
     const plain = await servePlainService({ port, upstream, clock, random, ledger: options.ledger, duration: group.call_ms })
@@ -165,16 +167,16 @@
   return Object.fromEntries(Object.entries(shape).filter(([, value]) => value !== undefined))
 }
 
-function toInstance ({ machine, server }: Place, leaving: boolean): Instance {
+function toInstance ({ machine: instance, server }: RunningServer, leaving: boolean): Instance {
   const standIn = server.kind === 'engine' ? server.engine : server.plain
   return instanceSchema.parse({
-    name: machine.name,
-    failureDomain: machine.failureDomain,
-    machineClass: machine.machineClass,
+    name: instance.name,
+    failureDomain: instance.failureDomain,
+    machineClass: instance.machineClass,
     address: standIn.address,
     role: { kind: 'upstream', upstream: standIn.upstream, service: server.service, protocol: server.kind === 'engine' ? 'model' : 'plain' },
     state: leaving ? 'leaving' : 'live',
-    reclaimable: machine.market === 'reclaimable'
+    reclaimable: instance.market === 'reclaimable'
   })
 }
 
--- a/stand-ins/http-server.ts
+++ b/stand-ins/http-server.ts
@@ -1,4 +1,4 @@
-/** The small HTTP server that all stand-ins share: JSON bodies, faults, and an end by signal. */
+/** HTTP server shared by all stand-ins: JSON answers, network faults, and an abrupt end. */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
@@ -7,7 +7,7 @@
 import type { Address } from '../src/identifiers.js'
 import type { FaultSwitch } from './faults.js'
 
-/** One call of a stand-in. */
+/** An HTTP call of a stand-in. */
 export interface StandInCall {
   readonly method: string
   readonly path: string
@@ -17,17 +17,17 @@
   readonly response: ServerResponse
 }
 
-/** Answers a call: with JSON by returning a value, or by writing to the response and returning undefined. */
+/** Handles a call. A returned value is sent as JSON; a handler that writes the response itself returns undefined. */
 export type StandInHandler = (call: StandInCall) => Promise<unknown> | unknown
 
 /** A listening stand-in. */
 export interface StandInServer {
   readonly address: Address
-  /** Destroys every connection, as the death of the process would. */
+  /** Stops the server and destroys every connection, as a crash of the process would. */
   kill (): Promise<void>
 }
 
-/** Thrown by handlers to answer with a status and a JSON body. */
+/** Error that a handler throws to answer with a status and a JSON body. */
 export class StandInFailure extends Error {
   readonly status: number
   readonly body: object
@@ -40,13 +40,15 @@
 }
 
 /**
+ * Starts a server on a loopback port.
+ *
  * @param port 0 for any free port
  * @example
  * const server = await serveStandIn(0, clock, faultSwitch, handle)
  */
 export async function serveStandIn (port: number, clock: Clock, faultSwitch: FaultSwitch, handle: StandInHandler): Promise<StandInServer> {
   const server = createServer((request, response) => {
-    answer(request, response, clock, faultSwitch, handle).catch(() => response.destroy())
+    handleRequest(request, response, clock, faultSwitch, handle).catch(() => response.destroy())
   })
   await new Promise<void>((resolve, reject) => {
     server.once('error', reject)
@@ -59,35 +61,37 @@
   }
 }
 
-async function answer (request: IncomingMessage, response: ServerResponse, clock: Clock, faultSwitch: FaultSwitch, handle: StandInHandler): Promise<void> {
-  const body = await readAll(request)
-  const fate = faultSwitch.next()
+async function handleRequest (request: IncomingMessage, response: ServerResponse, clock: Clock, faultSwitch: FaultSwitch, handle: StandInHandler): Promise<void> {
+  const body = await readBody(request)
+  const decision = faultSwitch.next()
   if (faultSwitch.faults.latency > 0) await clock.sleep(faultSwitch.faults.latency)
-  switch (fate) {
+  switch (decision) {
     case 'silence': return
     case 'refuse': return sendJson(response, 503, { error: { message: 'unavailable', verdict: 'not-run' } })
     case 'over-rate': return sendJson(response, 429, { error: { message: 'over rate', verdict: 'not-run' } })
     case 'lose-reply':
-      await run(request, response, body, handle, false)
+      await runHandler(request, response, body, handle, false)
       response.destroy()
       return
-    case 'answer': return run(request, response, body, handle, true)
+    case 'answer': return runHandler(request, response, body, handle, true)
   }
 }
 
-async function run (request: IncomingMessage, response: ServerResponse, body: Buffer, handle: StandInHandler, reply: boolean): Promise<void> {
+async function runHandler (request: IncomingMessage, response: ServerResponse, body: Buffer, handle: StandInHandler, sendReply: boolean): Promise<void> {
   const url = new URL(request.url ?? '/', 'http://stand-in')
   const call = { method: request.method ?? 'GET', path: url.pathname, query: url.searchParams, headers: request.headers, body, response }
   try {
     const result = await handle(call)
-    if (result !== undefined && reply) sendJson(response, 200, result)
+    if (result !== undefined && sendReply) sendJson(response, 200, result)
   } catch (error) {
     if (!(error instanceof StandInFailure)) throw error
-    if (reply) sendJson(response, error.status, error.body)
+    if (sendReply) sendJson(response, error.status, error.body)
   }
 }
 
 /**
+ * Sends a complete JSON response.
+ *
  * @example
  * sendJson(response, 200, { instances: [] })
  */
@@ -96,7 +100,7 @@
   response.end(JSON.stringify(body))
 }
 
-async function readAll (request: IncomingMessage): Promise<Buffer> {
+async function readBody (request: IncomingMessage): Promise<Buffer> {
   const chunks: Buffer[] = []
   for await (const chunk of request) chunks.push(chunk as Buffer)
   return Buffer.concat(chunks)
--- a/stand-ins/instance-list.ts
+++ b/stand-ins/instance-list.ts
@@ -1,4 +1,4 @@
-/** The instance list's stand-in: shows changes only after a lag. */
+/** Stand-in of the instance list. Changes become visible to readers after a lag. */
 import type { Clock, Milliseconds } from '../src/clock.js'
 import type { Random } from '../src/random.js'
 import type { Instance } from '../src/upstream/index.js'
@@ -10,9 +10,9 @@
 /** A running instance list. */
 export interface InstanceListStandIn extends StandInServer {
   readonly faultSwitch: FaultSwitch
-  /** Replaces the true list; readers see it after the lag. */
+  /** Replaces the list. Readers see the new list after the lag; the first one is visible at once. */
   set (instances: readonly Instance[]): void
-  /** The true list. */
+  /** Latest list, regardless of the lag. */
   current (): readonly Instance[]
 }
 
@@ -22,7 +22,9 @@
 }
 
 /**
- * @param options.lag age of what readers see, in milliseconds
+ * Starts an instance list that is empty.
+ *
+ * @param options.lag time until a change is visible to readers
  * @example
  * const list = await serveInstanceList({ port: 0, clock, random, lag: 2_000 })
  */
@@ -31,7 +33,7 @@
   const faultSwitch = createFaultSwitch(clock, options.random)
   let snapshots: Snapshot[] = [{ at: -Infinity, instances: [] }]
 
-  function visible (): readonly Instance[] {
+  function visibleInstances (): readonly Instance[] {
     const latest = snapshots.findLastIndex((snapshot) => snapshot.at <= clock.now() - lag)
     snapshots = snapshots.slice(Math.max(0, latest))
     return snapshots[0]?.instances ?? []
@@ -39,7 +41,7 @@
 
   const server = await serveStandIn(options.port, clock, faultSwitch, (call) => {
     if (call.path !== '/instances') throw new StandInFailure(404, { error: { message: 'no such call', verdict: 'not-run' } })
-    return { instances: visible() }
+    return { instances: visibleInstances() }
   })
 
   return {
--- a/stand-ins/key-value-cut.ts
+++ b/stand-ins/key-value-cut.ts
@@ -1,15 +1,15 @@
-/** A key-value service to which the path of one process may be cut. */
+/** Key-value client that simulates a network partition between one process and the service. */
 import type { KeyValue } from '../src/protocols/key-value.js'
 
 /**
- * The service as a process reaches it: calls fail at once while it is cut off. Watches go on.
+ * Wraps a key-value client so that calls fail at once while the service is unreachable. Watches are not affected.
  *
  * @example
- * const store = reachedUnless(keyValue, () => cut.has(node))
+ * const store = failWhileUnreachable(keyValue, () => partitionedNodes.has(node))
  */
-export function reachedUnless (keyValue: KeyValue, isCut: () => boolean): KeyValue {
+export function failWhileUnreachable (keyValue: KeyValue, isUnreachable: () => boolean): KeyValue {
   const guard = <Call extends unknown[], Result>(method: (...call: Call) => Promise<Result>) => async (...call: Call): Promise<Result> => {
-    if (isCut()) throw new Error('no path')
+    if (isUnreachable()) throw new Error('the key-value service is unreachable from this process')
     return method(...call)
   }
   return {
--- a/stand-ins/key-value-direct.ts
+++ b/stand-ins/key-value-direct.ts
@@ -1,4 +1,4 @@
-/** In-process face of the key-value stand-in: the same store and faults without a network. */
+/** In-process client of the key-value stand-in: the same store and faults as over HTTP, without a network. */
 import type { Clock, Milliseconds } from '../src/clock.js'
 import { SECOND } from '../src/clock.js'
 import { prefixEnd } from '../src/protocols/key-value.js'
@@ -9,98 +9,101 @@
 import type { FaultSwitch } from './faults.js'
 import type { KeyValueStore } from './key-value-store.js'
 
-/** Calls by kind since the start. */
+/** Number of calls by kind since the client was created. */
 export interface KeyValueCalls {
   reads: number
   writes: number
   watches: number
 }
 
-/** Faults that only the in-process face has. */
+/** Faults that only the in-process client has. */
 export interface DirectFaults {
-  /** Some writes take effect only this long after their caller has given up; none when 0. */
+  /** Delay after which a late write takes effect. Its caller gets a time-out at once. No write is late when 0. */
   lateBy: Milliseconds
-  /** One write in so many is late. */
+  /** Every n-th write is late. */
   lateEvery: number
 }
 
-/** The stand-in as a {@link KeyValue}. */
+/** In-process client of the stand-in, with its call counts and faults. */
 export interface DirectKeyValue extends KeyValue {
   readonly calls: KeyValueCalls
   readonly direct: DirectFaults
 }
 
+/** Interval of the empty updates that a watch yields while nothing changes. */
 const PROGRESS_PERIOD: Milliseconds = 5 * SECOND
 
-/** Time after which a caller gives up, as the client over HTTP does. */
+/** Time-out of a call, the same as that of the HTTP client. */
 const CALL_TIMEOUT: Milliseconds = 2 * SECOND
 
 /**
- * @param direct faults of its own, which several nodes may share
+ * Creates an in-process client of a store.
+ *
+ * @param direct faults of the in-process client; several clients may share the object
  * @example
  * const keyValue = createDirectKeyValue(createKeyValueStore(clock), createFaultSwitch(clock, random), clock)
  */
 export function createDirectKeyValue (store: KeyValueStore, faultSwitch: FaultSwitch, clock: Clock, direct: DirectFaults = { lateBy: 0, lateEvery: 1 }): DirectKeyValue {
   const calls: KeyValueCalls = { reads: 0, writes: 0, watches: 0 }
 
-  async function answer<T> (operation: () => T, signal: AbortSignal | undefined): Promise<WithEpoch<T>> {
-    const fate = faultSwitch.next()
+  async function call<T> (operation: () => T, signal: AbortSignal | undefined): Promise<WithEpoch<T>> {
+    const decision = faultSwitch.next()
     if (faultSwitch.faults.latency > 0) await clock.sleep(faultSwitch.faults.latency, signal)
     signal?.throwIfAborted()
-    switch (fate) {
+    switch (decision) {
       case 'answer': return { value: operation(), epoch: store.epoch() }
       case 'lose-reply':
         operation()
-        throw failure('the reply was lost')
+        throw failure('the reply of the key-value service was lost')
       case 'silence':
         await clock.sleep(CALL_TIMEOUT, signal)
-        throw failure('no answer in time')
-      case 'refuse': throw failure('the service is down')
-      case 'over-rate': throw failure('too many calls')
+        throw failure('the key-value service did not answer within the time-out')
+      case 'refuse': throw failure('the key-value service is down')
+      case 'over-rate': throw failure('the rate limit of the key-value service is exceeded')
     }
   }
 
   function read<T> (operation: () => T, signal?: AbortSignal): Promise<WithEpoch<T>> {
     calls.reads += 1
-    return answer(operation, signal)
+    return call(operation, signal)
   }
 
   function write<T> (operation: () => T, signal?: AbortSignal): Promise<WithEpoch<T>> {
     calls.writes += 1
-    if (direct.lateBy === 0 || calls.writes % direct.lateEvery !== 0) return answer(operation, signal)
+    if (direct.lateBy === 0 || calls.writes % direct.lateEvery !== 0) return call(operation, signal)
     clock.sleep(direct.lateBy).then(operation).catch(() => {})
-    return Promise.reject(failure('no answer in time'))
+    return Promise.reject(failure('the key-value service did not answer within the time-out'))
   }
 
   async function * watch (prefix: string, fromRevision: number, signal: AbortSignal): AsyncIterable<WithEpoch<readonly KeyValueChange[]>> {
     calls.watches += 1
-    await answer(() => {}, signal)
-    if (fromRevision > store.revision() + 1) throw new ServingError('the store has no such revision', { code: 'gone', verdict: 'not-run' })
+    await call(() => {}, signal)
+    if (fromRevision > store.revision() + 1) throw new ServingError('the requested revision is newer than the store', { code: 'gone', verdict: 'not-run' })
     const queue: KeyValueChange[][] = [[]]
     const epoch = store.epoch()
-    let wake = (): void => {}
-    let isCut = false
+    let notify = (): void => {}
+    let isDisconnected = false
     const unsubscribe = store.subscribe(prefix, prefixEnd(prefix), fromRevision, (changes) => {
       queue.push([...changes])
-      wake()
+      notify()
     }, () => {
-      isCut = true
-      wake()
+      isDisconnected = true
+      notify()
     })
     try {
       while (!signal.aborted) {
-        if (faultSwitch.faults.down) throw failure('the service is down')
+        if (faultSwitch.faults.down) throw failure('the key-value service is down')
         for (const changes of queue.splice(0)) {
           if (changes.length > 0 && faultSwitch.faults.latency > 0) await clock.sleep(faultSwitch.faults.latency, signal)
           yield { epoch, value: changes }
         }
-        if (isCut) throw failure('the connection was cut')
+        if (isDisconnected) throw failure('the watch was disconnected by a restore of the key-value service')
         if (queue.length > 0) continue
-        const changed = new Promise<void>((resolve) => { wake = resolve })
-        const waiting = new AbortController()
-        await Promise.race([changed, clock.sleep(PROGRESS_PERIOD, AbortSignal.any([signal, waiting.signal])).catch(() => {})])
-        waiting.abort()
-        if (isCut) throw failure('the connection was cut')
+        const changed = new Promise<void>((resolve) => { notify = resolve })
+        const timer = new AbortController()
+        await Promise.race([changed, clock.sleep(PROGRESS_PERIOD, AbortSignal.any([signal, timer.signal])).catch(() => {})])
+        timer.abort()
+        if (isDisconnected) throw failure('the watch was disconnected by a restore of the key-value service')
         if (queue.length === 0) queue.push([])
       }
     } finally {
--- a/stand-ins/key-value-store.ts
+++ b/stand-ins/key-value-store.ts
@@ -1,36 +1,51 @@
 /**
- * State of the key-value stand-in: revisions, compare-and-swap, leases that lapse by the given
- * clock, and watchers. No network; the HTTP face and the in-process face both drive it.
+ * State of the key-value stand-in: revisions, compare-and-swap, leases that expire by the given clock,
+ * and subscriptions. The HTTP server and the in-process client share this module, which has no network code.
  */
 import type { Clock, Milliseconds } from '../src/clock.js'
 import { DEFAULT_EPOCH } from '../src/protocols/epochs.js'
 import { ABSENT } from '../src/protocols/key-value.js'
 import type { KeyValueChange, KeyValueEntry, KeyValueListing, LeaseId, SwapResult } from '../src/protocols/key-value.js'
 
-/** The store's operations; all are immediate. */
+/** Operations of the store. All are synchronous. */
 export interface KeyValueStore {
   get (key: string): KeyValueEntry | undefined
+  /** Entries of the keys from `from` up to but excluding `end`, in order of the keys. An empty `end` means the single key `from`. */
   list (from: string, end: string): KeyValueListing
+  /** Writes a value and returns the new revision. */
   put (key: string, value: string, lease?: LeaseId): number
+  /** Writes a value if the key has the expected revision; {@link ABSENT} means that the key does not exist. */
   compareAndSwap (key: string, expectedRevision: number, value: string, lease?: LeaseId): SwapResult
+  /** Deletes a key if it has the expected revision. */
   compareAndDelete (key: string, expectedRevision: number): SwapResult
   grantLease (timeToLive: Milliseconds): LeaseId
+  /** Renews a lease and returns its time to live, or 0 if the lease has expired. */
   keepAlive (lease: LeaseId): Milliseconds
+  /** Ends a lease and removes its keys. */
   revokeLease (lease: LeaseId): void
-  /** Calls back for past and future changes in a key range, and where the subscription is cut; returns its end. */
-  subscribe (from: string, end: string, fromRevision: number, listener: (changes: readonly KeyValueChange[]) => void, cut?: () => void): () => void
-  /** Drops what has lapsed; called by every operation, and by owners that let time pass without one. */
+  /**
+   * Calls the listener with the changes of a key range since a revision, past ones included. Calls
+   * `onDisconnect` if a restore ends the subscription. Returns a function that ends the subscription.
+   */
+  subscribe (from: string, end: string, fromRevision: number, listener: (changes: readonly KeyValueChange[]) => void, onDisconnect?: () => void): () => void
+  /**
+   * Removes expired leases with their keys. Reads, writes and keep-alives call it first; the owner of the
+   * store calls it when time passes without an operation.
+   */
   expire (): void
   revision (): number
-  /** A copy of what stands now. */
+  /** Returns a copy of the current state. */
   backUp (): Backup
-  /** Comes back from a copy: what was written since is gone, and a new epoch begins. Those who wait for changes are cut off, or told nothing more. */
+  /**
+   * Restores the store from a backup: later writes are lost, and a new epoch begins. Open subscriptions are
+   * disconnected (`cut`), or stay open and receive nothing more (`silent`).
+   */
   restore (backup: Backup, watches?: 'cut' | 'silent'): void
-  /** Rises by one with each restore. */
+  /** Current epoch. Increases by one with each restore. */
   epoch (): number
 }
 
-/** A copy of a store. */
+/** Backup of a store. */
 export interface Backup {
   readonly revision: number
   readonly values: ReadonlyMap<string, StoredValue>
@@ -38,32 +53,34 @@
   readonly leaseCount: number
 }
 
-/** A value as the store keeps it. */
+/** A stored value and the lease it is attached to. */
 export interface StoredValue {
   readonly entry: KeyValueEntry
   readonly lease: LeaseId | undefined
 }
 
-/** A lease as the store keeps it. */
+/** A stored lease. */
 export interface StoredLease {
   readonly timeToLive: Milliseconds
-  lapsesAt: Milliseconds
+  expiresAt: Milliseconds
 }
 
 interface Subscription {
   readonly from: string
   readonly end: string
   readonly listener: (changes: readonly KeyValueChange[]) => void
-  readonly cut: () => void
+  readonly onDisconnect: () => void
 }
 
-/** Changes kept for watches that start in the past. */
-const HISTORY = 10_000
+/** Number of changes kept for subscriptions that start at a past revision. */
+const MAX_HISTORY_LENGTH = 10_000
 
-/** Longest value, as the platform's service has it. */
-const LONGEST_VALUE = 1_048_576
+/** Maximum length of a value, as in the platform's service. */
+const MAX_VALUE_LENGTH = 1_048_576
 
 /**
+ * Creates an empty store.
+ *
  * @example
  * const store = createKeyValueStore(createManualClock())
  */
@@ -78,14 +95,14 @@
 
   function publish (change: KeyValueChange): void {
     history.push(change)
-    if (history.length > HISTORY) history.shift()
+    if (history.length > MAX_HISTORY_LENGTH) history.shift()
     for (const subscription of subscriptions) {
       if (inRange(keyOf(change), subscription)) subscription.listener([change])
     }
   }
 
   function write (key: string, value: string, lease: LeaseId | undefined): number {
-    if (value.length > LONGEST_VALUE) throw new RangeError('value is larger than a megabyte')
+    if (value.length > MAX_VALUE_LENGTH) throw new RangeError('value exceeds the maximum length of 1048576 characters')
     if (lease !== undefined && !leases.has(lease)) throw new RangeError('lease not found')
     revision += 1
     const entry = { key, value, revision }
@@ -100,7 +117,7 @@
     publish({ kind: 'delete', key, revision })
   }
 
-  function dropLease (lease: LeaseId): void {
+  function endLease (lease: LeaseId): void {
     leases.delete(lease)
     for (const [key, stored] of values) {
       if (stored.lease === lease) remove(key)
@@ -110,11 +127,11 @@
   function expire (): void {
     const now = clock.now()
     for (const [lease, stored] of leases) {
-      if (stored.lapsesAt <= now) dropLease(lease)
+      if (stored.expiresAt <= now) endLease(lease)
     }
   }
 
-  function guarded (key: string, expectedRevision: number, change: () => void): SwapResult {
+  function changeAtRevision (key: string, expectedRevision: number, change: () => void): SwapResult {
     expire()
     const current = values.get(key)?.entry
     if ((current?.revision ?? ABSENT) !== expectedRevision) return { kind: 'conflict', current }
@@ -132,12 +149,12 @@
       revision = backup.revision
       leaseCount = backup.leaseCount
       replaceAll(values, backup.values)
-      // Leases run on from the return: how long it was away is not known to it.
-      replaceAll(leases, new Map([...backup.leases].map(([id, { timeToLive }]) => [id, { timeToLive, lapsesAt: clock.now() + timeToLive }])))
+      // Each lease restarts with its full time to live: the store does not know how long it was down.
+      replaceAll(leases, new Map([...backup.leases].map(([id, { timeToLive }]) => [id, { timeToLive, expiresAt: clock.now() + timeToLive }])))
       history.splice(0, history.length, ...history.filter((change) => revisionOf(change) <= revision))
-      const waiting = [...subscriptions]
+      const disconnected = [...subscriptions]
       subscriptions.clear()
-      if (watches === 'cut') for (const { cut } of waiting) cut()
+      if (watches === 'cut') for (const { onDisconnect } of disconnected) onDisconnect()
     },
     get: (key) => {
       expire()
@@ -152,24 +169,24 @@
       expire()
       return write(key, value, lease)
     },
-    compareAndSwap: (key, expectedRevision, value, lease) => guarded(key, expectedRevision, () => write(key, value, lease)),
-    compareAndDelete: (key, expectedRevision) => guarded(key, expectedRevision, () => remove(key)),
+    compareAndSwap: (key, expectedRevision, value, lease) => changeAtRevision(key, expectedRevision, () => write(key, value, lease)),
+    compareAndDelete: (key, expectedRevision) => changeAtRevision(key, expectedRevision, () => remove(key)),
     grantLease: (timeToLive) => {
       leaseCount += 1
       const lease = String(leaseCount)
-      leases.set(lease, { timeToLive, lapsesAt: clock.now() + timeToLive })
+      leases.set(lease, { timeToLive, expiresAt: clock.now() + timeToLive })
       return lease
     },
     keepAlive: (lease) => {
       expire()
       const stored = leases.get(lease)
       if (stored === undefined) return 0
-      stored.lapsesAt = clock.now() + stored.timeToLive
+      stored.expiresAt = clock.now() + stored.timeToLive
       return stored.timeToLive
     },
-    revokeLease: dropLease,
-    subscribe: (from, end, fromRevision, listener, cut = () => {}) => {
-      const subscription = { from, end, listener, cut }
+    revokeLease: endLease,
+    subscribe: (from, end, fromRevision, listener, onDisconnect = () => {}) => {
+      const subscription = { from, end, listener, onDisconnect }
       const past = history.filter((change) => revisionOf(change) >= fromRevision && inRange(keyOf(change), subscription))
       if (past.length > 0) listener(past)
       subscriptions.add(subscription)
--- a/stand-ins/key-value.ts
+++ b/stand-ins/key-value.ts
@@ -1,4 +1,4 @@
-/** HTTP face of the key-value stand-in, in the JSON form of the etcd v3 API. */
+/** HTTP server of the key-value stand-in. It speaks the JSON form of the etcd v3 API. */
 import type { Clock } from '../src/clock.js'
 import { SECOND } from '../src/clock.js'
 import type { KeyValueChange, KeyValueEntry } from '../src/protocols/key-value.js'
@@ -16,9 +16,13 @@
   readonly faultSwitch: FaultSwitch
 }
 
+/** Interval of the removal of expired leases, in milliseconds. */
 const EXPIRY_PERIOD = SECOND / 4
 
 /**
+ * Starts a key-value stand-in with an empty store.
+ *
+ * @param options.port 0 for any free port
  * @example
  * const keyValue = await serveKeyValue({ port: 0, clock, random })
  */
--- a/stand-ins/manual-clock.ts
+++ b/stand-ins/manual-clock.ts
@@ -1,9 +1,9 @@
-/** A clock that moves only when told to, for tests and experiments. */
+/** Clock that advances only on request, for tests and simulations. */
 import type { Clock, Milliseconds } from '../src/clock.js'
 
-/** Clock under the test's control. */
+/** Clock that is advanced by its owner. */
 export interface ManualClock extends Clock {
-  /** Lets time pass; sleepers wake in order of their due time, each before time moves on. */
+  /** Advances the time. Sleepers resolve in order of their due times, each at its own time. */
   advance (duration: Milliseconds): Promise<void>
 }
 
@@ -13,6 +13,8 @@
 }
 
 /**
+ * Creates a clock.
+ *
  * @param start first value of `now` and `wall`
  * @example
  * const clock = createManualClock()
@@ -34,7 +36,7 @@
     })
   }
 
-  function takeDue (until: Milliseconds): Sleeper | undefined {
+  function removeNextDue (until: Milliseconds): Sleeper | undefined {
     const due = sleepers.filter((sleeper) => sleeper.due <= until).sort((left, right) => left.due - right.due)[0]
     sleepers = sleepers.filter((sleeper) => sleeper !== due)
     return due
@@ -46,23 +48,23 @@
     sleep,
     advance: async (duration) => {
       const until = time + duration
-      for (let due = takeDue(until); due !== undefined; due = takeDue(until)) {
+      for (let due = removeNextDue(until); due !== undefined; due = removeNextDue(until)) {
         time = Math.max(time, due.due)
         due.wake()
-        await settle()
+        await flushPromises()
       }
       time = until
-      await settle()
+      await flushPromises()
     }
   }
 }
 
 /**
- * Lets promises that are ready run.
+ * Waits until the continuations of promises that are already resolved have run.
  *
  * @example
- * await settle()
+ * await flushPromises()
  */
-export function settle (): Promise<void> {
+export function flushPromises (): Promise<void> {
   return new Promise((resolve) => setImmediate(resolve))
 }
--- a/stand-ins/plain-service.ts
+++ b/stand-ins/plain-service.ts
@@ -1,6 +1,6 @@
 /**
- * A plain service's stand-in: bookings that count how often each ran, roster lookups, and an echo of
- * what arrived. A booking that ran twice stays visible in the ledger.
+ * Stand-in of a plain service: bookings, roster lookups, and an echo of the call. A ledger counts the
+ * runs of each booking, so that a booking that ran twice is detected.
  */
 import type { Clock, Milliseconds } from '../src/clock.js'
 import type { UpstreamName } from '../src/identifiers.js'
@@ -10,33 +10,33 @@
 import { serveStandIn, StandInFailure } from './http-server.js'
 import type { StandInCall, StandInServer } from './http-server.js'
 
-/** How often each booking ran, over all processes that share the ledger. */
+/** Number of runs of each booking, over all processes that share the ledger. */
 export interface BookingLedger {
-  /** Counts a run and returns how many there are now. */
+  /** Counts a run and returns the new number of runs of the booking. */
   run (reference: string): number
-  /** Runs of one booking. */
+  /** Number of runs of a booking. */
   runs (reference: string): number
-  /** Every booking that ran, with its runs. */
+  /** All bookings that have run. */
   entries (): readonly BookingEntry[]
 }
 
-/** One booking and how often it ran. */
+/** A booking and the number of its runs. */
 export interface BookingEntry {
   readonly reference: string
   readonly runs: number
 }
 
-/** Faults of a plain service beside those of its network face. All are off at the start. */
+/** Faults of a plain service in addition to its network faults. All are off at the start. */
 export interface PlainServiceFaults {
-  /** Time that each call takes, in milliseconds. */
+  /** Duration of each call. */
   duration: Milliseconds
-  /** Calls run, and their connection is reset instead of a reply. */
+  /** Calls run, and the connection is reset in place of the reply. */
   loseReplies: boolean
   /** Connections are reset before the call runs. */
   reset: boolean
   /** Calls are refused with verdict `not-run`. */
   refuse: boolean
-  /** Calls run, and nothing is ever answered. */
+  /** Calls run and are never answered. */
   silent: boolean
 }
 
@@ -46,33 +46,35 @@
   readonly faultSwitch: FaultSwitch
   readonly faults: PlainServiceFaults
   readonly ledger: BookingLedger
-  /** Calls that ran, whatever they were. */
+  /** Number of calls of any kind that have run. */
   ran (): number
-  /** Calls running now. */
+  /** Number of calls in progress. */
   open (): number
   setLeaving (leaving: boolean): void
   alive (): boolean
 }
 
-/** How a plain service is started. */
+/** Options of a plain service. */
 export interface PlainServiceOptions {
   readonly port: number
   readonly upstream: UpstreamName
   readonly clock: Clock
   readonly random: Random
-  /** Shared by the processes of one service; one of its own by default. */
+  /** Ledger that the processes of a service share. Default: a new ledger. */
   readonly ledger?: BookingLedger
-  /** Time that each call takes, in milliseconds. Default 0. */
+  /** Duration of each call. Default 0. */
   readonly duration?: Milliseconds
 }
 
-/** Paths whose calls change something and must run once. */
-const ORDERS = new Set(['/bookings', '/orders', '/confirmations'])
+/** Paths of non-idempotent calls, which must run at most once. */
+const BOOKING_PATHS = new Set(['/bookings', '/orders', '/confirmations'])
 
-const ROSTER = '/roster/'
-const ECHO = '/echo'
+const ROSTER_PREFIX = '/roster/'
+const ECHO_PREFIX = '/echo'
 
 /**
+ * Creates an empty ledger.
+ *
  * @example
  * const ledger = createBookingLedger()
  * ledger.run('visit-17') // 1
@@ -92,7 +94,7 @@
 
 /**
  * Starts a plain service. `POST /bookings`, `/orders` and `/confirmations` take `{ "reference": text }`;
- * `GET /roster/<driver>` looks a roster up; `/echo` and below answer with what arrived.
+ * `GET /roster/<driver>` returns a roster; `/echo` and the paths below it return the call itself.
  *
  * @example
  * const service = await servePlainService({ port: 0, upstream, clock, random })
@@ -122,9 +124,9 @@
   }
 
   function run (call: StandInCall): unknown {
-    if (call.method === 'POST' && ORDERS.has(call.path)) return book(ledger, call)
-    if (call.path.startsWith(ROSTER)) return roster(call.path.slice(ROSTER.length))
-    if (call.path.startsWith(ECHO)) return echo(call)
+    if (call.method === 'POST' && BOOKING_PATHS.has(call.path)) return book(ledger, call)
+    if (call.path.startsWith(ROSTER_PREFIX)) return rosterOf(call.path.slice(ROSTER_PREFIX.length))
+    if (call.path.startsWith(ECHO_PREFIX)) return echo(call)
     throw new StandInFailure(404, { error: { message: 'no such path', verdict: 'not-run' } })
   }
 
@@ -157,8 +159,8 @@
   return { reference, state: 'confirmed', runs: ledger.run(reference) }
 }
 
-/** The same driver has the same duty on every lookup. */
-function roster (driver: string): object {
+/** Derives a driver's roster from the name, so that every lookup returns the same duty. */
+function rosterOf (driver: string): object {
   const seed = [...driver].reduce((sum, character) => sum + character.charCodeAt(0), 0)
   return { driver, duty: `duty-${seed % 40}`, starts: `0${4 + seed % 5}:${seed % 2 === 0 ? '00' : '30'}`, vehicle: `coach-${seed % 60}` }
 }
--- a/stand-ins/platform.ts
+++ b/stand-ins/platform.ts
@@ -1,4 +1,4 @@
-/** A whole stand-in platform with its upstreams, from its description. */
+/** Starts a complete stand-in platform with its upstreams from a description. */
 import { startOrderSchema } from '../src/capacity/index.js'
 import type { Clock } from '../src/clock.js'
 import type { Random } from '../src/random.js'
@@ -23,25 +23,25 @@
   readonly cloud: CloudStandIn
   readonly weightStore: WeightStoreStandIn
   readonly fleet: Fleet
-  /** Bookings that ran at any plain service. */
+  /** Bookings that have run, over all plain services. */
   readonly ledger: BookingLedger
   kill (): Promise<void>
 }
 
 /**
- * Starts the platform's services and the upstreams of the start.
+ * Starts the services of a platform and its initial upstreams.
  *
  * @example
  * const platform = await startPlatform({ clock, random, sample })
  */
 export async function startPlatform (options: { clock: Clock, random: Random, sample: PlatformSample }): Promise<Platform> {
   const { clock, random, sample } = options
-  const owner = new AbortController()
+  const lifetime = new AbortController()
   const ledger = createBookingLedger()
   const keyValue = await serveKeyValue({ port: sample.ports.key_value, clock, random })
   const instanceList = await serveInstanceList({ port: sample.ports.instance_list, clock, random, lag: sample.instance_list_lag_ms })
-  const weightStore = await serveWeightStore({ port: sample.ports.weight_store, clock, random, shape: weightsOf(sample) })
-  const booting: Promise<void>[] = []
+  const weightStore = await serveWeightStore({ port: sample.ports.weight_store, clock, random, shape: weightStoreContents(sample) })
+  const boots: Promise<void>[] = []
   const cloud = await serveCloud({
     port: sample.ports.cloud,
     clock,
@@ -49,8 +49,8 @@
     offers: sample.offers.map((offer) => ({ failureDomain: offer.failure_domain, machineClass: offer.machine_class, market: offer.market, pricePerHour: offer.price_per_hour })),
     startTime: sample.machine_start_ms,
     events: {
-      started: (machine) => { booting.push(fleet.boot(machine).catch(() => {})) },
-      ended: (machine) => fleet.end(machine)
+      started: (instance) => { boots.push(fleet.boot(instance).catch(() => {})) },
+      ended: (instance) => fleet.end(instance)
     }
   })
   const fleet = createFleet({
@@ -63,10 +63,10 @@
     weightStore,
     ledger,
     serverStart: sample.server_start_ms,
-    signal: owner.signal
+    signal: lifetime.signal
   })
   startUpstreams(sample, cloud)
-  if (sample.machine_start_ms === 0) await Promise.all(booting)
+  if (sample.machine_start_ms === 0) await Promise.all(boots)
 
   return {
     keyValue,
@@ -76,36 +76,36 @@
     fleet,
     ledger,
     kill: async () => {
-      owner.abort()
+      lifetime.abort()
       await Promise.all([keyValue, instanceList, weightStore, cloud, fleet].map((standIn) => standIn.kill()))
     }
   }
 }
 
-/** Servers are spread over the failure domains in turn, as their operators have them today. */
+/** Starts the instances of each service in the failure domains in turn, as operators place them. */
 function startUpstreams (sample: PlatformSample, cloud: CloudStandIn): void {
   for (const group of sample.upstreams) {
     for (let index = 0; index < group.count; index += 1) {
       const answer = cloud.state.start(startOrderSchema.parse({
-        name: initialInstance(shortName(sample, group), index + 1),
+        name: initialInstance(upstreamPrefix(sample, group), index + 1),
         group: sample.group,
         service: group.service,
         failureDomain: sample.failure_domains[index % sample.failure_domains.length],
         machineClass: group.machine_class,
         market: group.market
       }))
-      if (answer.kind !== 'started') throw new Error(`the cloud sells no ${group.market} ${group.machine_class} for ${group.service}`)
+      if (answer.kind !== 'started') throw new Error(`the cloud did not start a ${group.market} ${group.machine_class} instance for ${group.service}`)
     }
   }
 }
 
-/** `engine` where a deployment has one service of engines, the service's name otherwise. */
-function shortName (sample: PlatformSample, group: UpstreamGroup): string {
-  const alone = sample.upstreams.filter((other) => other.protocol === group.protocol).length === 1
-  if (group.protocol === 'model') return alone ? 'engine' : group.service
-  return alone ? 'plain' : group.service
+/** Prefix of upstream names: `engine` or `plain` for the only service of its protocol, otherwise the service's name. */
+function upstreamPrefix (sample: PlatformSample, group: UpstreamGroup): string {
+  const isOnlyService = sample.upstreams.filter((other) => other.protocol === group.protocol).length === 1
+  if (group.protocol === 'model') return isOnlyService ? 'engine' : group.service
+  return isOnlyService ? 'plain' : group.service
 }
 
-function weightsOf (sample: PlatformSample) {
+function weightStoreContents (sample: PlatformSample) {
   return { bytesPerMs: sample.weight_store.bytes_per_ms, models: sample.weight_store.models }
 }
--- a/stand-ins/sample-deployment.ts
+++ b/stand-ins/sample-deployment.ts
@@ -1,4 +1,4 @@
-/** A sample deployment in one process: its platform's stand-ins and entry nodes, on free ports. */
+/** A sample deployment in one process, on free ports: platform stand-ins, entry nodes and planners. */
 import type { Clock, Milliseconds } from '../src/clock.js'
 import type { EntryNode } from '../src/entry/node.js'
 import type { Address } from '../src/identifiers.js'
@@ -13,7 +13,7 @@
 import type { PlatformSample } from './platform-sample.js'
 import type { Sample } from './sample.js'
 
-/** A running sample. */
+/** A running sample deployment. */
 export interface SampleDeployment {
   readonly platform: Platform
   readonly entries: readonly EntryNode[]
@@ -24,7 +24,7 @@
   kill (): Promise<void>
 }
 
-/** How a sample is started. */
+/** Options of a sample deployment. */
 export interface SampleDeploymentOptions {
   readonly sample: Sample
   readonly clock: Clock
@@ -37,12 +37,14 @@
 /** Machine class of entry nodes in every sample. */
 const ENTRY_MACHINE_CLASS = 'general'
 
-const PLANNER_SEEDS = 100
+/** Offset of the planners' random seeds, which keeps them apart from those of the entry nodes. */
+const PLANNER_SEED_OFFSET = 100
 
-const SETTLE_PERIOD: Milliseconds = 50
+/** Interval of the checks whether all entry nodes know each other and the upstreams. */
+const POLL_PERIOD: Milliseconds = 50
 
 /**
- * Starts a sample without a configuration; operators apply it as they would anywhere.
+ * Starts a sample deployment without a configuration. An operator applies the configuration afterwards.
  *
  * @example
  * const deployment = await startSampleDeployment({ sample, clock, seed: 1, logLevel: 'warn' })
@@ -56,7 +58,7 @@
   const planners = sample.planners.map((settings, index) => startPlanner({
     settings: { ...settings, log_level: options.logLevel, platform: platformSettings(platform) },
     clock,
-    random: createRandom(seed + PLANNER_SEEDS + index)
+    random: createRandom(seed + PLANNER_SEED_OFFSET + index)
   }))
   return {
     platform,
@@ -64,7 +66,7 @@
     planners,
     addresses: entryFleet.entries.map((entry) => entry.address),
     settled: async () => {
-      while (!entryFleet.entries.every((entry) => knowsAll(entry, entryFleet.entries.length, upstreams))) await clock.sleep(SETTLE_PERIOD)
+      while (!entryFleet.entries.every((entry) => knowsDeployment(entry, entryFleet.entries.length, upstreams))) await clock.sleep(POLL_PERIOD)
     },
     kill: async () => {
       await Promise.all(planners.map((planner) => planner.kill()))
@@ -74,13 +76,13 @@
   }
 }
 
-function knowsAll (entry: EntryNode, entries: number, upstreams: number): boolean {
+function knowsDeployment (entry: EntryNode, entries: number, upstreams: number): boolean {
   const { membership, directory } = entry.parts
   return membership.count() >= entries && directory.views().length >= upstreams
 }
 
 /**
- * A description whose ports are all free ones.
+ * Returns a copy of a platform's description in which every port is 0, so that any free port is taken.
  *
  * @example
  * startPlatform({ clock, random, sample: onFreePorts(sample.platform) })
--- a/stand-ins/sample.ts
+++ b/stand-ins/sample.ts
@@ -1,4 +1,4 @@
-/** The sample deployments in `samples/`: what operators apply, settings, keys and callers' requests. */
+/** Loads the sample deployments in `samples/`: configuration, platform, settings, keys and callers' requests. */
 import { readdirSync } from 'node:fs'
 import { join } from 'node:path'
 import * as z from 'zod'
@@ -13,7 +13,7 @@
 import { platformSampleSchema } from './platform-sample.js'
 import type { PlatformSample } from './platform-sample.js'
 
-/** One request as a caller of a sample organisation sends it. */
+/** A request of a caller: a chat request or a call of a plain service. */
 export const sampleRequestSchema = z.union([
   z.strictObject({
     organisation: organisationNameSchema,
@@ -27,6 +27,8 @@
     call: z.strictObject({ method: plainCallSchema.shape.method, path: plainCallSchema.shape.path, body: z.unknown().optional() })
   })
 ])
+
+/** A request of a caller. */
 export type SampleRequest = z.infer<typeof sampleRequestSchema>
 
 /** Bearer keys of a sample. */
@@ -38,7 +40,7 @@
 /** A sample deployment. */
 export interface Sample {
   readonly folder: string
-  /** The operators' document, as TOML. */
+  /** Configuration document of the operators, as TOML. */
   readonly configuration: string
   readonly platform: PlatformSample
   readonly entries: readonly EntrySettings[]
@@ -53,9 +55,9 @@
 const REQUEST_FILE = /\.jsonl$/
 
 /**
- * Reads a sample.
+ * Loads a sample from its folder.
  *
- * @throws ServingError `invalid-request` that names the file and what is wrong in it
+ * @throws ServingError `invalid-request`; the message names the file and the problem
  * @example
  * const sample = loadSample('samples/calcaria-lisbon')
  */
@@ -65,18 +67,18 @@
     folder,
     configuration: readTextFile(join(folder, 'configuration.toml')),
     platform: loadSettings(platformSampleSchema, join(folder, 'platform.toml')),
-    entries: files(folder, ENTRY_FILE).map((path) => loadSettings(entrySettingsSchema, path)),
-    planners: files(folder, PLANNER_FILE).map((path) => loadSettings(plannerSettingsSchema, path)),
+    entries: matchingFiles(folder, ENTRY_FILE).map((path) => loadSettings(entrySettingsSchema, path)),
+    planners: matchingFiles(folder, PLANNER_FILE).map((path) => loadSettings(plannerSettingsSchema, path)),
     operatorKey: keys.operator,
     organisations: keys.organisations,
-    requests: files(join(folder, 'requests'), REQUEST_FILE).flatMap(loadRequests)
+    requests: matchingFiles(join(folder, 'requests'), REQUEST_FILE).flatMap(loadRequests)
   }
 }
 
 /**
- * Reads requests from a file with one JSON document a line.
+ * Loads requests from a file with one JSON document per line.
  *
- * @throws ServingError `invalid-request` that names the line
+ * @throws ServingError `invalid-request`; the message names the line
  * @example
  * loadRequests('samples/calcaria-lisbon/requests/bookings.jsonl').length // 40
  */
@@ -99,6 +101,6 @@
   }
 }
 
-function files (folder: string, pattern: RegExp): string[] {
+function matchingFiles (folder: string, pattern: RegExp): string[] {
   return readdirSync(folder).filter((name) => pattern.test(name)).sort().map((name) => join(folder, name))
 }
--- a/stand-ins/weight-store.ts
+++ b/stand-ins/weight-store.ts
@@ -1,6 +1,5 @@
 /**
- * The weight store's stand-in: transfers that share its rate fairly, each at most at the rate of one
- * receiver, and a status page.
+ * Stand-in of the weight store: concurrent transfers that share its rate equally, and a status report.
  */
 import type { Clock, Milliseconds } from '../src/clock.js'
 import type { WeightStoreStatus } from '../src/protocols/weight-store.js'
@@ -10,9 +9,9 @@
 import { serveStandIn, StandInFailure } from './http-server.js'
 import type { StandInServer } from './http-server.js'
 
-/** What is kept and how fast it is sent. */
-export interface WeightStoreShape {
-  /** Bytes sent in a millisecond, shared by all transfers. */
+/** Models in the store and its transfer rate. */
+export interface WeightStoreContents {
+  /** Bytes sent per millisecond, shared by all transfers. */
   readonly bytesPerMs: number
   readonly models: readonly { readonly model: string, readonly bytes: number }[]
 }
@@ -21,7 +20,7 @@
 export interface WeightStoreStandIn extends StandInServer {
   readonly faultSwitch: FaultSwitch
   status (): WeightStoreStatus
-  /** Fetches a model for an engine; resolves when it has arrived, rejects when the signal aborts. */
+  /** Transfers a model to an engine. Resolves when the transfer is complete; rejects if the signal aborts. */
   fetch (upstream: string, model: string, signal?: AbortSignal): Promise<void>
 }
 
@@ -32,47 +31,49 @@
   received: number
 }
 
-/** Longest pause between two looks at the transfers, in milliseconds. */
-const STEP: Milliseconds = 50
+/** Maximum time between two updates of a transfer's progress. */
+const MAX_UPDATE_INTERVAL: Milliseconds = 50
 
 /**
+ * Starts a weight store.
+ *
  * @example
  * const store = await serveWeightStore({ port: 0, clock, random, shape })
  * await store.fetch('engine-1', 'assistant-7b')
  */
-export async function serveWeightStore (options: { port: number, clock: Clock, random: Random, shape: WeightStoreShape }): Promise<WeightStoreStandIn> {
+export async function serveWeightStore (options: { port: number, clock: Clock, random: Random, shape: WeightStoreContents }): Promise<WeightStoreStandIn> {
   const { clock, shape } = options
   const faultSwitch = createFaultSwitch(clock, options.random)
   const transfers = new Set<Transfer>()
-  let settledAt = clock.now()
+  let updatedAt = clock.now()
 
-  function settle (): void {
+  function updateProgress (): void {
     const now = clock.now()
-    const share = (now - settledAt) * shape.bytesPerMs / Math.max(1, transfers.size)
-    settledAt = now
+    const share = (now - updatedAt) * shape.bytesPerMs / Math.max(1, transfers.size)
+    updatedAt = now
     for (const transfer of transfers) transfer.received = Math.min(transfer.bytes, transfer.received + share)
   }
 
   async function fetch (upstream: string, model: string, signal?: AbortSignal): Promise<void> {
     const bytes = shape.models.find((candidate) => candidate.model === model)?.bytes
     if (bytes === undefined) throw new StandInFailure(404, { error: { message: 'no such model', verdict: 'not-run' } })
-    settle()
+    updateProgress()
     const transfer = { upstream, model, bytes, received: 0 }
     transfers.add(transfer)
     try {
       while (transfer.received < bytes) {
         const remaining = (bytes - transfer.received) * transfers.size / shape.bytesPerMs
-        await clock.sleep(Math.min(STEP, remaining), signal)
-        settle()
+        await clock.sleep(Math.min(MAX_UPDATE_INTERVAL, remaining), signal)
+        updateProgress()
       }
     } finally {
-      settle()
+      updateProgress()
       transfers.delete(transfer)
     }
   }
 
   function status (): WeightStoreStatus {
-    settle()
+    updateProgress()
     const open = [...transfers].map(({ upstream, model, bytes, received }) => ({ upstream, model, bytes, receivedBytes: received }))
     return { bytesPerMs: shape.bytesPerMs, models: [...shape.models], transfers: open }
   }
--- a/test/gateway/duty-holder.test.ts
+++ b/test/gateway/duty-holder.test.ts
@@ -8,7 +8,7 @@
 import type { DutyHolder } from '../../src/gateway/duty-holder.js'
 import { createRandom } from '../../src/random.js'
 import { createFaultSwitch } from '../../stand-ins/faults.js'
-import { reachedUnless } from '../../stand-ins/key-value-cut.js'
+import { failWhileUnreachable } from '../../stand-ins/key-value-cut.js'
 import { createDirectKeyValue } from '../../stand-ins/key-value-direct.js'
 import { createKeyValueStore } from '../../stand-ins/key-value-store.js'
 import { createManualClock } from '../../stand-ins/manual-clock.js'
@@ -47,7 +47,7 @@
     incarnationCount += 1
     const controller = new AbortController()
     const holder = createDutyHolder({
-      context: { store: reachedUnless(store, () => disconnected.has(node)), clock, random: createRandom(seed + incarnationCount), log: LOG, signal: controller.signal },
+      context: { store: failWhileUnreachable(store, () => disconnected.has(node)), clock, random: createRandom(seed + incarnationCount), log: LOG, signal: controller.signal },
       node: `front-${node}`,
       incarnation: `front-${node}-${incarnationCount}`,
       leaseTime: LEASE,
--- a/test/gateway/store-restored.test.ts
+++ b/test/gateway/store-restored.test.ts
@@ -14,7 +14,7 @@
 import { createUsageWindows } from '../../src/usage/index.js'
 import type { UsageCounts, UsageWindows } from '../../src/usage/index.js'
 import { createFaultSwitch } from '../../stand-ins/faults.js'
-import { reachedUnless } from '../../stand-ins/key-value-cut.js'
+import { failWhileUnreachable } from '../../stand-ins/key-value-cut.js'
 import { createDirectKeyValue } from '../../stand-ins/key-value-direct.js'
 import type { DirectFaults } from '../../stand-ins/key-value-direct.js'
 import { createKeyValueStore } from '../../stand-ins/key-value-store.js'
@@ -76,7 +76,7 @@
     incarnationCount += 1
     const controller = new AbortController()
     setMaxListeners(0, controller.signal)
-    const store = reachedUnless(createDirectKeyValue(keys, faultSwitch, clock, writeDelays), () => disconnected.has(node))
+    const store = failWhileUnreachable(createDirectKeyValue(keys, faultSwitch, clock, writeDelays), () => disconnected.has(node))
     const context = { store, clock, random: createRandom(seed + incarnationCount), log: LOG, signal: controller.signal }
     const incarnation = `front-${node}-${incarnationCount}`
     const windows = createUsageWindows(WINDOW)
--- a/test/planner/harness.ts
+++ b/test/planner/harness.ts
@@ -307,7 +307,7 @@
           planner.takeLease()
           planner.start()
         }
-        cloud.settle()
+        cloud.updateToNow()
         await clock.advance(10 * SECOND)
       }
       controller.abort()
--- a/test/planner/interleavings.test.ts
+++ b/test/planner/interleavings.test.ts
@@ -146,7 +146,7 @@
         world.cloud.reclaimDomain(ZONES[step.zone]!, 2 * SECOND)
         break
       case 'room':
-        world.cloud.limit({ failureDomain: ZONES[step.zone]!, machineClass: 'large', market: 'reclaimable' }, step.room)
+        world.cloud.limitCapacity({ failureDomain: ZONES[step.zone]!, machineClass: 'large', market: 'reclaimable' }, step.room)
         break
     }
   }
@@ -179,7 +179,7 @@
 
 /** Asserts that no name was started twice and that every started name was wanted at some time. */
 function assertStartedOnce (world: PlannerWorld): void {
-  const started = world.cloud.bought().map((order) => order.name)
+  const started = world.cloud.startedOrders().map((order) => order.name)
   assert.equal(new Set(started).size, started.length)
   for (const name of started) assert.ok(name.startsWith('first-') || world.everWanted.has(name), `${name} was never wanted`)
 }
--- a/test/planner/replacement.test.ts
+++ b/test/planner/replacement.test.ts
@@ -15,12 +15,12 @@
 test('refused starts fall back to on-demand instances, and move back when the cheaper market is available again', async () => {
   const world = createPlannerWorld({ seed: 1, checksFencing: () => true, loadTime: 90 * SECOND })
   await runCycles(world, 15)
-  for (const zone of ZONES) world.cloud.limit(offerIn(zone, 'reclaimable'), 0)
+  for (const zone of ZONES) world.cloud.limitCapacity(offerIn(zone, 'reclaimable'), 0)
   world.cloud.reclaimDomain(ZONES[0]!, 2 * SECOND)
   await runCycles(world, 15)
   assert.equal(countInstances(world, 'on-demand'), 1)
   assert.equal(countInstances(world, 'reclaimable'), 2)
-  for (const zone of ZONES) world.cloud.limit(offerIn(zone, 'reclaimable'), undefined)
+  for (const zone of ZONES) world.cloud.limitCapacity(offerIn(zone, 'reclaimable'), undefined)
   let minServing = Infinity
   for (let step = 0; step < 45 * 6; step += 1) {
     await runCycles(world, 1)
@@ -36,7 +36,7 @@
 test('an offer that refuses is tried less and less often', async () => {
   const world = createPlannerWorld({ seed: 1, checksFencing: () => true })
   await runCycles(world, 5)
-  for (const zone of ZONES) for (const market of ['reclaimable', 'on-demand'] as const) world.cloud.limit(offerIn(zone, market), 0)
+  for (const zone of ZONES) for (const market of ['reclaimable', 'on-demand'] as const) world.cloud.limitCapacity(offerIn(zone, market), 0)
   world.cloud.reclaimDomain(ZONES[0]!, 2 * SECOND)
   await runCycles(world, 60)
   const startsBefore = world.starts.length
@@ -48,12 +48,12 @@
 test('a busy instance that is not wanted is marked as leaving and released at the end of the drain time', async () => {
   const world = createPlannerWorld({ seed: 1, checksFencing: () => true })
   await runCycles(world, 5)
-  for (const zone of ZONES) world.cloud.limit(offerIn(zone, 'reclaimable'), 0)
+  for (const zone of ZONES) world.cloud.limitCapacity(offerIn(zone, 'reclaimable'), 0)
   world.cloud.reclaimDomain(ZONES[0]!, 2 * SECOND)
   await runCycles(world, 6)
   const expensive = world.cloud.list('sample').find((instance) => instance.market === 'on-demand')!.name
   world.setBusy(expensive, true)
-  for (const zone of ZONES) world.cloud.limit(offerIn(zone, 'reclaimable'), undefined)
+  for (const zone of ZONES) world.cloud.limitCapacity(offerIn(zone, 'reclaimable'), undefined)
   let markedAt: number | undefined
   let goneAt: number | undefined
   for (let step = 0; step < 60 * 6 && goneAt === undefined; step += 1) {
@@ -90,12 +90,12 @@
 test('fluctuating prices do not change the fleet', async () => {
   const world = createPlannerWorld({ seed: 1, checksFencing: () => true })
   await runCycles(world, 5)
-  const bought = world.cloud.bought().length
+  const bought = world.cloud.startedOrders().length
   for (let step = 0; step < 24; step += 1) {
     world.cloud.setOffers(world.cloud.offers().map((offer, index) => ({ ...offer, pricePerHour: offer.pricePerHour * ((step + index) % 2 === 0 ? 1.4 : 1 / 1.4) })))
     await runCycles(world, 30)
   }
-  assert.equal(world.cloud.bought().length, bought)
+  assert.equal(world.cloud.startedOrders().length, bought)
 })
 
 /** Runs planning cycles of the first planner. */
--- a/test/protocols/cloud.test.ts
+++ b/test/protocols/cloud.test.ts
@@ -36,7 +36,7 @@
   await assert.rejects(cloud.start(orderNamed('assistant-1')), { verdict: 'may-have-run' })
   standIn.faultSwitch.faults.lostReplies = 0
   assert.equal((await cloud.start(orderNamed('assistant-1'))).kind, 'started')
-  assert.equal(standIn.state.bought().length, 1)
+  assert.equal(standIn.state.startedOrders().length, 1)
 })
 
 // Guards against an instance that runs unnoticed: the start order of a paused planner arrives after its successor has released
@@ -47,9 +47,9 @@
 })
 
 test('a refused order resolves instead of rejecting', async () => {
-  standIn.state.limit(OFFER, 0)
+  standIn.state.limitCapacity(OFFER, 0)
   assert.equal((await cloud.start(orderNamed('assistant-3'))).kind, 'refused')
-  standIn.state.limit(OFFER, undefined)
+  standIn.state.limitCapacity(OFFER, undefined)
 })
 
 test('each notice is read once, oldest first, with the remaining time', async () => {
--- a/test/protocols/lease-manager.test.ts
+++ b/test/protocols/lease-manager.test.ts
@@ -7,7 +7,7 @@
 import { createLeaseManager, PLANNER_LEASE_TIME, PLANNER_LEASE_KEY } from '../../src/protocols/lease-manager.js'
 import { createRandom } from '../../src/random.js'
 import { createFaultSwitch } from '../../stand-ins/faults.js'
-import { reachedUnless } from '../../stand-ins/key-value-cut.js'
+import { failWhileUnreachable } from '../../stand-ins/key-value-cut.js'
 import { createDirectKeyValue } from '../../stand-ins/key-value-direct.js'
 import { createKeyValueStore } from '../../stand-ins/key-value-store.js'
 import { createManualClock } from '../../stand-ins/manual-clock.js'
@@ -24,7 +24,7 @@
   const owner = new AbortController()
   const cutOff = new Set<number>()
   const planner = (number: number, ownClock: Clock = clock) => createLeaseManager({
-    keyValue: reachedUnless(keyValue, () => cutOff.has(number)),
+    keyValue: failWhileUnreachable(keyValue, () => cutOff.has(number)),
     clock: ownClock,
     random: createRandom(seed + number),
     log: LOG,
--- a/test/stand-ins/comparison.test.ts
+++ b/test/stand-ins/comparison.test.ts
@@ -3,19 +3,19 @@
 import { test } from 'node:test'
 import { classNameSchema, organisationNameSchema } from '../../src/identifiers.js'
 import type { ReportDocument, RequestSums } from '../../src/report/index.js'
-import type { CallerRecord, Sight } from '../../stand-ins/callers.js'
-import { disagreements } from '../../stand-ins/comparison.js'
+import type { CallerRecord, CallerOutcome } from '../../stand-ins/callers.js'
+import { findDisagreements } from '../../stand-ins/comparison.js'
 import { createBookingLedger } from '../../stand-ins/plain-service.js'
 import type { BookingLedger } from '../../stand-ins/plain-service.js'
 
 const NONE: RequestSums = { asked: 0, accepted: 0, served: 0, late: 0, refused: 0, lost: 0, unknown: 0, open: 0, unreported: 0 }
-const answered: Sight = { kind: 'answered', tokens: 0 }
-const notRun: Sight = { kind: 'failed', code: 'overloaded', verdict: 'not-run', message: '' }
-const mayHaveRun: Sight = { kind: 'failed', code: 'connection-lost', verdict: 'may-have-run', message: '' }
+const answered: CallerOutcome = { kind: 'answered', tokens: 0 }
+const notRun: CallerOutcome = { kind: 'failed', code: 'overloaded', verdict: 'not-run', message: '' }
+const mayHaveRun: CallerOutcome = { kind: 'failed', code: 'connection-lost', verdict: 'may-have-run', message: '' }
 const key = { class: classNameSchema.parse('booking'), organisation: organisationNameSchema.parse('tejo') }
 
-function booking (reference: string, sight: Sight): CallerRecord {
-  return { request: { ...key, call: { method: 'POST', path: '/bookings', body: { reference } } }, sight }
+function booking (reference: string, sight: CallerOutcome): CallerRecord {
+  return { request: { ...key, call: { method: 'POST', path: '/bookings', body: { reference } } }, outcome: sight }
 }
 
 function report (sums: Partial<RequestSums>): ReportDocument {
@@ -33,10 +33,10 @@
 
 test('agreement, also when the client sent again what was refused', () => {
   const records = [booking('a', answered), booking('b', notRun), booking('c', mayHaveRun)]
-  assert.deepEqual(disagreements(report({ asked: 5, served: 1, refused: 3, unknown: 1 }), records, ledger({ a: 1, c: 1 })), [])
+  assert.deepEqual(findDisagreements(report({ asked: 5, served: 1, refused: 3, unknown: 1 }), records, ledger({ a: 1, c: 1 })), [])
 })
 
-const FAULTS: { story: string, sums: Partial<RequestSums>, sight: Sight, runs: number, says: RegExp }[] = [
+const FAULTS: { story: string, sums: Partial<RequestSums>, sight: CallerOutcome, runs: number, says: RegExp }[] = [
   { story: 'a van too many', sums: { asked: 1, served: 1 }, sight: answered, runs: 2, says: /ran 2 times/ },
   { story: 'confirmed and never run', sums: { asked: 1, served: 1 }, sight: answered, runs: 0, says: /told that it ran/ },
   { story: 'refused as not run, and run', sums: { asked: 1, refused: 1 }, sight: notRun, runs: 1, says: /told that it did not run/ },
@@ -48,6 +48,6 @@
 
 for (const { story, sums, sight, runs, says } of FAULTS) {
   test(`disagreement: ${story}`, () => {
-    assert.match(disagreements(report(sums), [booking('a', sight)], ledger({ a: runs })).join('\n'), says)
+    assert.match(findDisagreements(report(sums), [booking('a', sight)], ledger({ a: runs })).join('\n'), says)
   })
 }
