--- a/features/steps/agreement.steps.ts
+++ b/features/steps/agreement.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about what nodes agree on, over a fleet in virtual time. */
+/** Steps for scenarios in which nodes agree on the configuration, the membership and leases. The fleet runs in virtual time. */
 import assert from 'node:assert/strict'
 import { After, Given, Then, When } from '@cucumber/cucumber'
 import { change } from '../../bench/agreement/measure.js'
@@ -22,7 +22,7 @@
   clock: ManualClock
   fleet: Fleet
   node: FleetNode
-  first: ConfigurationRevision
+  firstRevision: ConfigurationRevision
   outcomes: ChangeOutcome[]
   report: DeliveryReport
   leases: [LeaseManager, LeaseManager]
@@ -39,18 +39,18 @@
 async function startFleet (world: AgreementWorld, nodes: number, domains: number, domainsInFirstRegion: number): Promise<void> {
   world.clock = createVirtualClock()
   world.fleet = createFleet({ clock: world.clock, seed: 1, nodes, domains, domainsInFirstRegion })
-  world.first = (await change(world.fleet, world.clock, 0, () => {})).revision
+  world.firstRevision = (await change(world.fleet, world.clock, 0, () => {})).revision
   await world.clock.advance(MINUTE)
 }
 
-function request (world: AgreementWorld, changeId: string, wholeAnswer: number) {
-  const { configuration } = world.first
-  const classes = configuration.classes.map((item) => ({ ...item, target: { ...item.target, whole_answer_ms: wholeAnswer } }))
+function createChangeRequest (world: AgreementWorld, changeId: string, wholeAnswerMs: number) {
+  const { configuration } = world.firstRevision
+  const classes = configuration.classes.map((item) => ({ ...item, target: { ...item.target, whole_answer_ms: wholeAnswerMs } }))
   return { changeId, author: 'ana', reason: 'story', base: 1, configuration: { ...configuration, classes } }
 }
 
-/** Accepts a change at a node and delivers it; the report says who has not confirmed. */
-async function applyAt (world: AgreementWorld, node: FleetNode, base: number): Promise<void> {
+/** Applies a change and delivers it from a node. The delivery report lists the nodes that have not confirmed it. */
+async function deliverChange (world: AgreementWorld, node: FleetNode, base: number): Promise<void> {
   let report: Promise<DeliveryReport> | undefined
   await change(world.fleet, world.clock, base, (revision) => { report = node.membership.deliver(revision, 9 * SECOND) })
   await world.clock.advance(10 * SECOND)
@@ -72,23 +72,23 @@
 
 When('two operators apply different changes to the same revision', async function (this: AgreementWorld) {
   const options = { store: this.fleet.keyValue, clock: this.clock }
-  const both = Promise.all([applyChange(options, request(this, 'change-of-ana', 7_000)), applyChange(options, request(this, 'change-of-rui', 6_000))])
+  const pending = Promise.all([applyChange(options, createChangeRequest(this, 'change-of-ana', 7_000)), applyChange(options, createChangeRequest(this, 'change-of-rui', 6_000))])
   await this.clock.advance(0)
   await this.clock.advance(5 * SECOND)
-  this.outcomes = await both
+  this.outcomes = await pending
 })
 
 When('an operator applies a change and the reply of the key-value service is lost', async function (this: AgreementWorld) {
   const swap = this.fleet.keyValue.compareAndSwap
   const store = {
     ...this.fleet.keyValue,
-    compareAndSwap: async (...call: Parameters<typeof swap>) => {
-      const result = await swap(...call)
-      if (call[0] === CONFIGURATION_KEY) throw new Error('the reply was lost')
+    compareAndSwap: async (...parameters: Parameters<typeof swap>) => {
+      const result = await swap(...parameters)
+      if (parameters[0] === CONFIGURATION_KEY) throw new Error('the reply was lost')
       return result
     }
   }
-  const outcome = applyChange({ store, clock: this.clock }, request(this, 'change-of-ana', 7_000))
+  const outcome = applyChange({ store, clock: this.clock }, createChangeRequest(this, 'change-of-ana', 7_000))
   await this.clock.advance(0)
   await this.clock.advance(5 * SECOND)
   this.outcomes = [await outcome]
@@ -132,8 +132,8 @@
 
 When('one node is cut off from the key-value service and from every peer', function (this: AgreementWorld) {
   this.node = this.fleet.nodes()[3] as FleetNode
-  const cut = this.node
-  this.fleet.reach((from, to) => from !== cut && to !== cut)
+  const disconnected = this.node
+  this.fleet.reach((from, to) => from !== disconnected && to !== disconnected)
 })
 
 Then('it takes no new work after a few seconds', async function (this: AgreementWorld) {
@@ -145,7 +145,7 @@
 })
 
 Then('the delivery of a change names it as the one that has not confirmed', async function (this: AgreementWorld) {
-  await applyAt(this, this.fleet.nodes()[0] as FleetNode, 1)
+  await deliverChange(this, this.fleet.nodes()[0] as FleetNode, 1)
   assert.deepEqual(this.report.missing.map((record) => record.incarnation), [this.node.record.incarnation])
 })
 
@@ -169,10 +169,10 @@
 })
 
 Then('the delivery of a change names all of them as not confirmed', async function (this: AgreementWorld) {
-  await applyAt(this, this.fleet.nodes().find((node) => node.region === 0) as FleetNode, 1)
-  const cutOff = this.fleet.nodes().filter((node) => node.region === 1)
-  assert.ok(cutOff.every((node) => node.configuration.revision() === 1))
-  assert.deepEqual(new Set(this.report.missing.map((record) => record.incarnation)), new Set(cutOff.map((node) => node.record.incarnation)))
+  await deliverChange(this, this.fleet.nodes().find((node) => node.region === 0) as FleetNode, 1)
+  const disconnected = this.fleet.nodes().filter((node) => node.region === 1)
+  assert.ok(disconnected.every((node) => node.configuration.revision() === 1))
+  assert.deepEqual(new Set(this.report.missing.map((record) => record.incarnation)), new Set(disconnected.map((node) => node.record.incarnation)))
 })
 
 Then('no node ever goes back to a lower revision when the regions meet again', async function (this: AgreementWorld) {
@@ -186,7 +186,7 @@
   await startFleet(this, 1, 1, 1)
   let pausedUntil = 0
   const { clock } = this
-  const paused: Clock = {
+  const pausableClock: Clock = {
     ...clock,
     sleep: async (delay, signal) => {
       await clock.sleep(delay, signal)
@@ -194,17 +194,17 @@
     }
   }
   this.pause = (duration) => { pausedUntil = clock.now() + duration }
-  const planner = (name: string, ownClock: Clock) => createLeaseManager({
+  const createPlannerLease = (name: string, plannerClock: Clock) => createLeaseManager({
     keyValue: this.fleet.keyValue,
-    clock: ownClock,
+    clock: plannerClock,
     random: createRandom(name.length),
     log: { info: () => {}, warn: () => {}, error: () => {} },
     signal: new AbortController().signal,
     holder: incarnationSchema.parse(name)
   })
-  const holder = planner('planner-1', paused)
+  const holder = createPlannerLease('planner-1', pausableClock)
   await clock.advance(SECOND)
-  this.leases = [holder, planner('planner-two', clock)]
+  this.leases = [holder, createPlannerLease('planner-two', clock)]
   await clock.advance(SECOND)
   this.fencing = holder.held(0)?.fencing ?? 0
   assert.ok(this.fencing > 0)
--- a/features/steps/at-most-once.steps.ts
+++ b/features/steps/at-most-once.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about bookings that are sent more than once. */
+/** Steps for scenarios in which bookings are sent more than once. */
 import assert from 'node:assert/strict'
 import { randomBytes } from 'node:crypto'
 import { Given, Then, When } from '@cucumber/cucumber'
@@ -11,10 +11,10 @@
 
 const clock = createSystemClock()
 
-/** Longer than any send of these scenarios may take. */
-const PATIENCE = 20 * SECOND
+/** Longer than any request of these scenarios may take. */
+const REQUEST_TIMEOUT = 20 * SECOND
 
-interface Told {
+interface BookingResponse {
   readonly status: number
   readonly verdict: string | null
   readonly retryAfter: string | null
@@ -24,7 +24,7 @@
 interface BookingWorld extends DeploymentWorld {
   home: EntryNode
   ids: Map<string, RequestId>
-  told: Map<string, Told[]>
+  told: Map<string, BookingResponse[]>
 }
 
 Given('{int} entry nodes before {int} plain services', async function (this: BookingWorld, entries: number, plainServices: number) {
@@ -43,8 +43,8 @@
   for (const plain of this.deployment!.plainServices) plain.faults.duration = duration
 })
 
-Given('{int} in 100 replies of the key-value service are lost', function (this: BookingWorld, share: number) {
-  this.deployment!.keyValue.faultSwitch.faults.lostReplies = share / 100
+Given('{int} in 100 replies of the key-value service are lost', function (this: BookingWorld, percentage: number) {
+  this.deployment!.keyValue.faultSwitch.faults.lostReplies = percentage / 100
 })
 
 Given('the key-value service refuses every call', function (this: BookingWorld) {
@@ -56,32 +56,32 @@
   this.told.clear()
 })
 
-// A family is told nothing, sends its booking again from another window, and must not get two vans.
-// Cause: the reply was lost after the booking was made.
+// Failure guarded against: a booking runs twice. The reply to the first send is lost after the booking has
+// run, and the caller sends the booking again.
 When('booking {string} is sent to its home', async function (this: BookingWorld, reference: string) {
-  await book(this, reference, this.home)
+  await sendBooking(this, reference, this.home)
 })
 
 When('booking {string} is sent again through every node', async function (this: BookingWorld, reference: string) {
-  for (const entry of living(this)) await book(this, reference, entry)
+  for (const entry of runningEntries(this)) await sendBooking(this, reference, entry)
 })
 
 When('booking {string} is sent {int} times at once through every node', async function (this: BookingWorld, reference: string, times: number) {
-  const sends = living(this).flatMap((entry) => Array.from({ length: times }, () => book(this, reference, entry)))
+  const sends = runningEntries(this).flatMap((entry) => Array.from({ length: times }, () => sendBooking(this, reference, entry)))
   await Promise.all(sends)
 })
 
-// A caller at another node sees its booking's home die and sends again. Nobody else may run it: the home
-// had sent it to the dispatch service.
+// Failure guarded against: a booking runs twice because its home crashes. The home has already sent the
+// booking to the dispatch service, and the caller at another node sends it again. No other node may run it.
 When('booking {string} is sent and its home dies {int} milliseconds later', async function (this: BookingWorld, reference: string, delay: number) {
-  const sent = book(this, reference, this.deployment!.entries[1]!)
+  const sent = sendBooking(this, reference, this.deployment!.entries[1]!)
   await clock.sleep(delay)
   await this.home.kill()
   await sent
 })
 
 When('booking {string} is sent and its home is reclaimed {int} milliseconds later with {int} seconds notice', async function (this: BookingWorld, reference: string, delay: number, seconds: number) {
-  const sent = book(this, reference, this.deployment!.entries[1]!)
+  const sent = sendBooking(this, reference, this.deployment!.entries[1]!)
   await clock.sleep(delay)
   const stopped = this.home.stop(clock.now() + seconds * SECOND)
   await sent
@@ -89,33 +89,33 @@
 })
 
 When('booking {string} is sent with one key through every node at once', async function (this: BookingWorld, reference: string) {
-  await Promise.all(living(this).map((entry) => send(this, reference, entry, { 'idempotency-key': `key-of-${reference}` })))
+  await Promise.all(runningEntries(this).map((entry) => sendBookingRequest(this, reference, entry, { 'idempotency-key': `key-of-${reference}` })))
 })
 
 When('{int} roster lookups are sent', async function (this: BookingWorld, count: number) {
   const lookups = Array.from({ length: count }, async (_, index) => {
-    const entry = living(this)[index % living(this).length]!
-    note(this, 'lookups', await call(this.deployment!.key, entry, 'GET', `/v1/services/roster-lookup/roster/driver-${index}`, {}))
+    const entry = runningEntries(this)[index % runningEntries(this).length]!
+    recordResponse(this, 'lookups', await sendRequest(this.deployment!.key, entry, 'GET', `/v1/services/roster-lookup/roster/driver-${index}`, {}))
   })
   await Promise.all(lookups)
 })
 
 Then('every send of {string} is told that it may have run', function (this: BookingWorld, reference: string) {
-  for (const told of toldAbout(this, reference)) assert.equal(told.verdict, 'may-have-run', told.text)
+  for (const response of responsesTo(this, reference)) assert.equal(response.verdict, 'may-have-run', response.text)
 })
 
 Then('every send of {string} is told that it was not run', function (this: BookingWorld, reference: string) {
-  for (const told of toldAbout(this, reference)) assert.equal(told.verdict, 'not-run', told.text)
+  for (const response of responsesTo(this, reference)) assert.equal(response.verdict, 'not-run', response.text)
 })
 
 Then('every send of {string} is answered', function (this: BookingWorld, reference: string) {
-  const answers = toldAbout(this, reference)
-  for (const told of answers) assert.ok(told.status < 300 && told.verdict === null, JSON.stringify(told))
-  assert.equal(new Set(answers.map((told) => told.text)).size, 1)
+  const responses = responsesTo(this, reference)
+  for (const response of responses) assert.ok(response.status < 300 && response.verdict === null, JSON.stringify(response))
+  assert.equal(new Set(responses.map((response) => response.text)).size, 1)
 })
 
 Then('every send of {string} is answered or told that it may have run', function (this: BookingWorld, reference: string) {
-  for (const told of toldAbout(this, reference)) assert.ok(told.status < 300 || told.verdict === 'may-have-run' || told.verdict === 'ran', JSON.stringify(told))
+  for (const response of responsesTo(this, reference)) assert.ok(response.status < 300 || response.verdict === 'may-have-run' || response.verdict === 'ran', JSON.stringify(response))
 })
 
 Then('booking {string} ran exactly once', function (this: BookingWorld, reference: string) {
@@ -127,73 +127,73 @@
 })
 
 Then('booking {string} ran once if any send was answered, and not at all otherwise', function (this: BookingWorld, reference: string) {
-  const answers = toldAbout(this, reference)
-  for (const told of answers) assert.ok(told.status < 300 || told.verdict !== null, JSON.stringify(told))
-  const answered = answers.some((told) => told.status < 300)
+  const responses = responsesTo(this, reference)
+  for (const response of responses) assert.ok(response.status < 300 || response.verdict !== null, JSON.stringify(response))
+  const answered = responses.some((response) => response.status < 300)
   assert.equal(this.deployment!.ledger.runs(reference), answered ? 1 : 0)
 })
 
 Then('its id with another body is a conflict at every node', async function (this: BookingWorld) {
-  for (const entry of living(this)) {
-    const told = await call(this.deployment!.key, entry, 'POST', '/v1/services/booking/bookings', { 'hornbeamgap-request-id': firstId(this) }, { reference: 'visit-99' })
-    assert.deepEqual([told.status, told.verdict], [409, 'not-run'], told.text)
+  for (const entry of runningEntries(this)) {
+    const response = await sendRequest(this.deployment!.key, entry, 'POST', '/v1/services/booking/bookings', { 'hornbeamgap-request-id': firstId(this) }, { reference: 'visit-99' })
+    assert.deepEqual([response.status, response.verdict], [409, 'not-run'], response.text)
   }
   assert.equal(this.deployment!.ledger.runs('visit-99'), 0)
 })
 
 Then('its id is unknown to another organisation at every node', async function (this: BookingWorld) {
-  for (const entry of living(this)) {
-    const told = await call(this.deployment!.otherKey, entry, 'POST', '/v1/services/booking/bookings', { 'hornbeamgap-request-id': firstId(this) }, { reference: 'visit-98' })
-    assert.equal(told.status, 404, told.text)
+  for (const entry of runningEntries(this)) {
+    const response = await sendRequest(this.deployment!.otherKey, entry, 'POST', '/v1/services/booking/bookings', { 'hornbeamgap-request-id': firstId(this) }, { reference: 'visit-98' })
+    assert.equal(response.status, 404, response.text)
   }
   assert.equal(this.deployment!.ledger.runs('visit-98'), 0)
 })
 
-Then('the plain services ran at most {int} calls', function (this: BookingWorld, most: number) {
-  const ran = this.deployment!.plainServices.reduce((sum, plain) => sum + plain.ran(), 0)
-  const mayHaveRun = toldAbout(this, 'lookups').filter((told) => told.verdict !== 'not-run').length
-  assert.ok(mayHaveRun > 0 && ran >= mayHaveRun && ran <= most, `${ran} calls, ${mayHaveRun} may have run`)
+Then('the plain services ran at most {int} calls', function (this: BookingWorld, maxRuns: number) {
+  const runCount = this.deployment!.plainServices.reduce((sum, plain) => sum + plain.ran(), 0)
+  const mayHaveRun = responsesTo(this, 'lookups').filter((response) => response.verdict !== 'not-run').length
+  assert.ok(mayHaveRun > 0 && runCount >= mayHaveRun && runCount <= maxRuns, `${runCount} calls, ${mayHaveRun} may have run`)
 })
 
 Then('every lookup was told at once what became of it', function (this: BookingWorld) {
-  for (const told of toldAbout(this, 'lookups')) {
-    assert.notEqual(told.verdict, null, told.text)
-    assert.ok(told.retryAfter !== null, told.text)
+  for (const response of responsesTo(this, 'lookups')) {
+    assert.notEqual(response.verdict, null, response.text)
+    assert.ok(response.retryAfter !== null, response.text)
   }
 })
 
-function living (world: BookingWorld): EntryNode[] {
+function runningEntries (world: BookingWorld): EntryNode[] {
   return world.deployment!.entries.filter((entry) => !entry.parts.signal.aborted)
 }
 
-function book (world: BookingWorld, reference: string, entry: EntryNode): Promise<void> {
+function sendBooking (world: BookingWorld, reference: string, entry: EntryNode): Promise<void> {
   const id = world.ids.get(reference) ?? requestIdFor(world.home.incarnation, randomBytes(16).toString('base64url'))
   world.ids.set(reference, id)
-  return send(world, reference, entry, { 'hornbeamgap-request-id': id })
+  return sendBookingRequest(world, reference, entry, { 'hornbeamgap-request-id': id })
 }
 
-async function send (world: BookingWorld, reference: string, entry: EntryNode, headers: Record<string, string>): Promise<void> {
-  note(world, reference, await call(world.deployment!.key, entry, 'POST', '/v1/services/booking/bookings', headers, { reference }))
+async function sendBookingRequest (world: BookingWorld, reference: string, entry: EntryNode, headers: Record<string, string>): Promise<void> {
+  recordResponse(world, reference, await sendRequest(world.deployment!.key, entry, 'POST', '/v1/services/booking/bookings', headers, { reference }))
 }
 
-async function call (key: string, entry: EntryNode, method: string, path: string, headers: Record<string, string>, body?: object): Promise<Told> {
+async function sendRequest (key: string, entry: EntryNode, method: string, path: string, headers: Record<string, string>, body?: object): Promise<BookingResponse> {
   const response = await fetch(`http://${entry.address}${path}`, {
     method,
     headers: { authorization: `Bearer ${key}`, 'content-type': 'application/json', ...headers },
     ...(body === undefined ? {} : { body: JSON.stringify(body) }),
-    signal: AbortSignal.timeout(PATIENCE)
+    signal: AbortSignal.timeout(REQUEST_TIMEOUT)
   })
   return { status: response.status, verdict: response.headers.get('hornbeamgap-verdict'), retryAfter: response.headers.get('retry-after'), text: await response.text() }
 }
 
-function note (world: BookingWorld, reference: string, told: Told): void {
-  world.told.set(reference, [...(world.told.get(reference) ?? []), told])
+function recordResponse (world: BookingWorld, reference: string, response: BookingResponse): void {
+  world.told.set(reference, [...(world.told.get(reference) ?? []), response])
 }
 
-function toldAbout (world: BookingWorld, reference: string): Told[] {
-  const told = world.told.get(reference) ?? []
-  assert.ok(told.length > 0)
-  return told
+function responsesTo (world: BookingWorld, reference: string): BookingResponse[] {
+  const responses = world.told.get(reference) ?? []
+  assert.ok(responses.length > 0)
+  return responses
 }
 
 function firstId (world: BookingWorld): RequestId {
--- a/features/steps/crashing-request.steps.ts
+++ b/features/steps/crashing-request.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about a request that crashes every engine which runs it. */
+/** Steps for scenarios with a request that crashes every engine that runs it. */
 import assert from 'node:assert/strict'
 import { After, Given, Then, When } from '@cucumber/cucumber'
 import { createClient, ServingError } from '../../src/client/index.js'
@@ -23,9 +23,9 @@
 interface CrashWorld extends DeploymentWorld {
   questions: Question[]
   failures: ServingError[]
-  /** Engines that took the place of crashed ones. */
-  startedAgain: EngineStandIn[]
-  /** What dies now is cleaned up. */
+  /** Engines started in place of crashed ones. */
+  restartedEngines: EngineStandIn[]
+  /** Set at the clean-up: engines that end afterwards are not restarted. */
   ended: boolean
 }
 
@@ -33,24 +33,25 @@
   this.deployment = await startDeployment({ clock, seed: 1, entries, engines, logLevel: 'silent', engineShape: { token_ms: 30 } })
   this.client = createClient({ addresses: this.deployment.addresses, key: this.deployment.key })
   this.failures = []
-  this.startedAgain = []
+  this.restartedEngines = []
   while (this.deployment.entries.some((entry) => entry.parts.membership.count() < entries)) await clock.sleep(20)
 })
 
 Given('{int} technicians wait for answers', async function (this: CrashWorld, count: number) {
-  this.questions = Array.from({ length: count }, (_, index) => ask(this, `Which valve fits house ${index}?`))
+  this.questions = Array.from({ length: count }, (_, index) => askQuestion(this, `Which valve fits house ${index}?`))
   while (this.questions.some((question) => question.tokens < FIRST_TOKENS)) await clock.sleep(5)
 })
 
-// The platform restarts a crashed engine before anybody looks: it takes connections and knows no stream.
+// The platform restarts a crashed engine before the nodes notice the crash. The new engine accepts connections
+// and has none of the earlier streams.
 Given('a crashed engine is started again at its address at once', function (this: CrashWorld) {
-  for (const engine of this.deployment!.engines) startAgainAfterDeath(this, engine)
+  for (const engine of this.deployment!.engines) restartAfterDeath(this, engine)
 })
 
-// A plan with an odd log crashes the engine that runs it; its caller sends it again, through whichever node,
-// under a new id each time. Left alone it takes down one engine after the other, with everybody's answers.
+// Failure guarded against: one request takes down all engines and the answers of other callers. The request
+// crashes each engine that runs it, and its caller sends it again through any node under a new id each time.
 When('the crashing request is sent {int} times in a row through every node under new ids', async function (this: CrashWorld, times: number) {
-  for (let turn = 0; turn < times; turn += 1) {
+  for (let round = 0; round < times; round += 1) {
     for (const address of this.deployment!.addresses) await sendCrashing(this, address)
   }
 })
@@ -60,10 +61,10 @@
   await Promise.all(addresses.map((address) => sendCrashing(this, address)))
 })
 
-Then('at most {int} engines have died', function (this: CrashWorld, most: number) {
-  const dead = [...this.deployment!.engines, ...this.startedAgain].filter((engine) => !engine.alive()).length
-  assert.ok(dead > 0, 'the request crashed nothing')
-  assert.ok(dead <= most, `${dead} engines died`)
+Then('at most {int} engines have died', function (this: CrashWorld, maxDead: number) {
+  const deadCount = [...this.deployment!.engines, ...this.restartedEngines].filter((engine) => !engine.alive()).length
+  assert.ok(deadCount > 0, 'the request crashed no engine')
+  assert.ok(deadCount <= maxDead, `${deadCount} engines died`)
 })
 
 Then('the last send of the crashing request was refused for good', function (this: CrashWorld) {
@@ -74,21 +75,21 @@
   for (const { messages, answer } of this.questions) assert.equal((await answer).text, answerWords(messages, QUESTION_TOKENS).join(''))
 })
 
-function startAgainAfterDeath (world: CrashWorld, engine: EngineStandIn): void {
+function restartAfterDeath (world: CrashWorld, engine: EngineStandIn): void {
   engine.onDeath(() => {
     if (world.ended || world.deployment!.entries.every((entry) => entry.parts.signal.aborted)) return
     const port = Number(engine.address.split(':')[1])
-    serveAgain(world, engine, port).catch(() => {})
+    restartEngine(world, engine, port).catch(() => {})
   })
 }
 
-/** The port is free a moment after the death. */
-async function serveAgain (world: CrashWorld, engine: EngineStandIn, port: number): Promise<void> {
+/** Starts an engine on the port of the crashed one. Retries, because the port is released shortly after the crash. */
+async function restartEngine (world: CrashWorld, engine: EngineStandIn, port: number): Promise<void> {
   for (;;) {
     try {
-      const again = await serveEngine({ port, upstream: engine.upstream, clock, random: createRandom(1), shape: { tokenTime: 30 } })
-      world.startedAgain.push(again)
-      startAgainAfterDeath(world, again)
+      const restarted = await serveEngine({ port, upstream: engine.upstream, clock, random: createRandom(1), shape: { tokenTime: 30 } })
+      world.restartedEngines.push(restarted)
+      restartAfterDeath(world, restarted)
       return
     } catch {
       await clock.sleep(2)
@@ -98,17 +99,17 @@
 
 After(async function (this: CrashWorld) {
   this.ended = true
-  for (const engine of this.startedAgain ?? []) await engine.kill()
+  for (const engine of this.restartedEngines ?? []) await engine.kill()
 })
 
-function ask (world: CrashWorld, content: string): Question {
+function askQuestion (world: CrashWorld, content: string): Question {
   const messages = [{ role: 'user' as const, content }]
   const question = { messages, tokens: 0, answer: world.client!.chat({ class: 'short-question', messages, maxTokens: QUESTION_TOKENS, onToken: () => { question.tokens += 1 } }) }
   question.answer.catch(() => {})
   return question
 }
 
-/** A caller without the client's module: one send, a new id each time. */
+/** Sends the crashing request once without the client module, so that each send has a new id. */
 async function sendCrashing (world: CrashWorld, address: string): Promise<void> {
   const response = await fetch(`http://${address}/v1/chat/completions`, {
     method: 'POST',
--- a/features/steps/planner.steps.ts
+++ b/features/steps/planner.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about the planner in a whole deployment. */
+/** Steps for scenarios with a planner in a complete deployment. */
 import assert from 'node:assert/strict'
 import { After, Given, Then, When } from '@cucumber/cucumber'
 import { describeEvent, plannerHistorySchema } from '../../src/capacity/index.js'
@@ -21,7 +21,7 @@
 }
 
 const clock = createSystemClock()
-const LOOK = 200
+const PLANNING_PERIOD_MS = 200
 const NOTICE = 2 * SECOND
 const GROUP = 'sample'
 const SERVICE = 'servicing-assistant'
@@ -36,15 +36,15 @@
     group: GROUP,
     machine_classes: [{ name: 'accelerated', runs: 'model' }, { name: 'general', runs: 'plain' }],
     fencing_checked_by: [SERVICE],
-    period_ms: LOOK
+    period_ms: PLANNING_PERIOD_MS
   })
   this.planners = [...this.planners ?? [], startPlanner({ settings, clock, random: createRandom(number) })]
-  await until(() => this.deployment.keyValue.store.get(HISTORY_KEY) !== undefined, 10)
+  await waitUntil(() => this.deployment.keyValue.store.get(HISTORY_KEY) !== undefined, 10)
 })
 
 Given('the cloud sells no reclaimable instance any more', function (this: PlannerStepsWorld) {
   const { state } = this.deployment.cloud
-  for (const offer of state.offers().filter((one) => one.market === 'reclaimable')) state.limitCapacity(offer, 0)
+  for (const offer of state.offers().filter((candidate) => candidate.market === 'reclaimable')) state.limitCapacity(offer, 0)
 })
 
 When('the cloud takes back the reclaimable instances of {string}', function (this: PlannerStepsWorld, zone: string) {
@@ -52,8 +52,8 @@
 })
 
 Then('within {int} seconds {int} engines of the deployment serve the model again', async function (this: PlannerStepsWorld, seconds: number, count: number) {
-  const isWhole = (): boolean => enginesOf(this.deployment).length === count && enginesOf(this.deployment).every((instance) => instance.state === 'live')
-  await until(() => isWhole() && this.deployment.fleet.engines().filter((engine) => engine.models().length > 0).length === count, seconds)
+  const allLive = (): boolean => enginesOf(this.deployment).length === count && enginesOf(this.deployment).every((instance) => instance.state === 'live')
+  await waitUntil(() => allLive() && this.deployment.fleet.engines().filter((engine) => engine.models().length > 0).length === count, seconds)
 })
 
 Then('the planner\'s history tells of the reclaim', function (this: PlannerStepsWorld) {
@@ -81,11 +81,11 @@
 
 Then('within {int} seconds every entry node gives the first engine no new work', async function (this: PlannerStepsWorld, seconds: number) {
   const { upstream } = this.deployment.engines[0]!
-  await until(() => this.deployment.entries.every((entry) => entry.parts.directory.find(upstream)?.leaving === true), seconds)
+  await waitUntil(() => this.deployment.entries.every((entry) => entry.parts.directory.find(upstream)?.leaving === true), seconds)
 })
 
 Then('{int} short questions are answered whole without it', async function (this: PlannerStepsWorld, count: number) {
-  const before = this.deployment.engines[0]!.started.length
+  const startedBefore = this.deployment.engines[0]!.started.length
   const client = createClient({ addresses: this.deployment.addresses, key: this.deployment.key })
   for (let number = 0; number < count; number += 1) {
     const messages = [{ role: 'user' as const, content: `Question ${number}?` }]
@@ -93,17 +93,17 @@
     assert.equal(answer.text, answerWords(messages, 5).join(''))
   }
   await client.close()
-  assert.equal(this.deployment.engines[0]!.started.length, before)
+  assert.equal(this.deployment.engines[0]!.started.length, startedBefore)
 })
 
 function enginesOf (deployment: Deployment) {
   return deployment.cloud.state.list(GROUP).filter((instance) => instance.service === SERVICE)
 }
 
-async function until (condition: () => boolean, seconds: number): Promise<void> {
+async function waitUntil (condition: () => boolean, seconds: number): Promise<void> {
   const deadline = clock.now() + seconds * SECOND
   while (!condition()) {
-    assert.ok(clock.now() < deadline, 'it did not come to pass in time')
+    assert.ok(clock.now() < deadline, 'the condition was not met in time')
     await clock.sleep(50)
   }
 }
--- a/features/steps/reports.steps.ts
+++ b/features/steps/reports.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about reports of nodes that die, return or are folded. */
+/** Steps for scenarios in which nodes report their counts, end or return, and planners fold the reports of ended nodes. */
 import assert from 'node:assert/strict'
 import { Given, Then, When } from '@cucumber/cucumber'
 import { MINUTE } from '../../src/clock.js'
@@ -12,7 +12,7 @@
 import type { CountingNode, FrozenClock } from '../../test/report/fleet.js'
 import type { DeploymentWorld } from './world.js'
 
-/** Longer than the announced pauses of a silent node. */
+/** Longer than the longest pause between writes that a node announces in its report. */
 const LONG_SILENCE = 20 * MINUTE
 
 interface ReportWorld extends DeploymentWorld {
@@ -25,11 +25,11 @@
 
 interface Faults {
   readonly losesReplies?: boolean
-  /** Resolves when the next call may take effect. */
+  /** Delays each call until the promise resolves. */
   readonly turn?: () => Promise<void>
 }
 
-function connect (world: ReportWorld, faults: Faults = {}): KeyValue {
+function createKeyValueClient (world: ReportWorld, faults: Faults = {}): KeyValue {
   async function call<T> (operation: () => T, write = false): Promise<T> {
     await faults.turn?.()
     if (world.down) throw new ServingError('the service is down', { code: 'connection-lost', verdict: 'not-run' })
@@ -38,7 +38,7 @@
     return result
   }
   const { store } = world
-  const unused = (): never => { throw new TypeError('reports need no such call') }
+  const unused = (): never => { throw new TypeError('reports do not use this operation') }
   return {
     epochs: createEpochTracker(),
     get: (key) => call(() => store.get(key)),
@@ -53,14 +53,14 @@
   }
 }
 
-function answer (world: ReportWorld, node: CountingNode, requests: number): void {
+function answerRequests (world: ReportWorld, node: CountingNode, requests: number): void {
   for (let index = 0; index < requests; index += 1) {
     world.requests += 1
     node.end(node.accept(world.requests), SERVED)
   }
 }
 
-/** A folder sees a silent node twice, with the time between in which a living one would have written. */
+/** Folds twice, with enough time between for every live node to write. A node is folded once it has not written between two folds. */
 async function foldTwice (world: ReportWorld, fold: () => Promise<unknown>): Promise<void> {
   await fold()
   await world.clock.advance(LONG_SILENCE)
@@ -73,13 +73,13 @@
   this.store = createKeyValueStore(this.clock)
   this.requests = 0
   this.down = false
-  this.nodes = Array.from({ length: count }, (_, index) => createCountingNode(`entry-${index + 1}`, connect(this), this.clock))
+  this.nodes = Array.from({ length: count }, (_, index) => createCountingNode(`entry-${index + 1}`, createKeyValueClient(this), this.clock))
   for (const node of this.nodes) this.store.compareAndSwap(`hornbeamgap/nodes/${node.incarnation}`, ABSENT, JSON.stringify({ incarnation: node.incarnation }))
 })
 
 Given('each node has answered {int} requests and reported', async function (this: ReportWorld, requests: number) {
   for (const node of this.nodes) {
-    answer(this, node, requests)
+    answerRequests(this, node, requests)
     await node.reporter.write()
   }
 })
@@ -92,29 +92,29 @@
 })
 
 When('a planner folds the reports of nodes that are gone', async function (this: ReportWorld) {
-  await foldTwice(this, createReportFolder(connect(this), this.clock))
+  await foldTwice(this, createReportFolder(createKeyValueClient(this), this.clock))
 })
 
 When('two planners fold at once, call by call in turn', async function (this: ReportWorld) {
   const yieldTurn = (): Promise<void> => new Promise((resolve) => setImmediate(resolve))
-  const folders = [1, 2].map(() => createReportFolder(connect(this, { turn: yieldTurn }), this.clock))
+  const folders = [1, 2].map(() => createReportFolder(createKeyValueClient(this, { turn: yieldTurn }), this.clock))
   await foldTwice(this, () => Promise.all(folders.map((fold) => fold())))
 })
 
 When('a planner folds and no reply to its writes arrives', async function (this: ReportWorld) {
-  const fold = createReportFolder(connect(this, { losesReplies: true }), this.clock)
+  const fold = createReportFolder(createKeyValueClient(this, { losesReplies: true }), this.clock)
   await foldTwice(this, () => fold().catch(() => {}))
   for (let pass = 0; pass < 5; pass += 1) await fold().catch(() => {})
 })
 
 When('another planner takes over', async function (this: ReportWorld) {
-  await foldTwice(this, createReportFolder(connect(this), this.clock))
+  await foldTwice(this, createReportFolder(createKeyValueClient(this), this.clock))
 })
 
 When('node {int} comes back, having answered {int} more requests', async function (this: ReportWorld, number: number, requests: number) {
   const node = this.nodes[number - 1]!
   node.live = true
-  answer(this, node, requests)
+  answerRequests(this, node, requests)
   await node.reporter.write()
   await node.reporter.write()
 })
@@ -125,7 +125,7 @@
     await this.clock.advance(MINUTE)
     for (const node of this.nodes) await node.reporter.write().catch(() => {})
   }
-  for (const node of this.nodes) answer(this, node, requests)
+  for (const node of this.nodes) answerRequests(this, node, requests)
   for (const { key, revision } of this.store.list('hornbeamgap/nodes/', 'hornbeamgap/nodes0').entries) this.store.compareAndDelete(key, revision)
   this.down = false
 })
--- a/features/steps/upstream-reclaim.steps.ts
+++ b/features/steps/upstream-reclaim.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about upstreams that the platform takes back. */
+/** Steps for scenarios in which the platform reclaims upstreams. */
 import assert from 'node:assert/strict'
 import { Given, Then, When } from '@cucumber/cucumber'
 import { createClient } from '../../src/client/index.js'
@@ -13,35 +13,35 @@
 
 const clock = createSystemClock()
 
-/** Long enough that no plan ends before any notice of these scenarios is over. */
+/** So many tokens that no plan finishes before the notice period of any of these scenarios ends. */
 const ANSWER_TOKENS = 400
-const TOKEN_TIME = 15
+const TOKEN_TIME_MS = 15
 const CHARACTERS_PER_TOKEN = 4
-const FEW_TOKENS = 5
+const FIRST_TOKENS = 5
 
 const DOMAIN = failureDomainSchema.parse('zone-b')
 
-interface WrittenPlan {
+interface Plan {
   readonly messages: { role: 'user', content: string }[]
   readonly offsets: number[]
   readonly answer: Promise<ChatAnswer>
 }
 
 interface ReclaimWorld extends DeploymentWorld {
-  plans: WrittenPlan[]
+  plans: Plan[]
   leaving: EngineStandIn[]
 }
 
 Given('{int} entry nodes and {int} engines whose links carry {int} tokens a millisecond', async function (this: ReclaimWorld, entries: number, engines: number, rate: number) {
-  const engineShape = { token_ms: TOKEN_TIME, link_tokens_per_ms: rate, batch_cost: 0, prefill_tokens_per_ms: 100 }
+  const engineShape = { token_ms: TOKEN_TIME_MS, link_tokens_per_ms: rate, batch_cost: 0, prefill_tokens_per_ms: 100 }
   this.deployment = await startDeployment({ clock, seed: 1, entries, engines, logLevel: 'silent', engineShape })
   this.client = createClient({ addresses: this.deployment.addresses, key: this.deployment.key })
   while (this.deployment.entries.some((entry) => entry.parts.membership.count() < entries)) await clock.sleep(20)
 })
 
 Given('{int} plans are being written from prompts of {int} tokens', async function (this: ReclaimWorld, count: number, tokens: number) {
-  this.plans = Array.from({ length: count }, (_, index) => writePlan(this, `Plan ${index}: `.padEnd(tokens * CHARACTERS_PER_TOKEN, `log ${index} `)))
-  while (this.plans.some((plan) => plan.offsets.length < FEW_TOKENS)) await clock.sleep(5)
+  this.plans = Array.from({ length: count }, (_, index) => requestPlan(this, `Plan ${index}: `.padEnd(tokens * CHARACTERS_PER_TOKEN, `log ${index} `)))
+  while (this.plans.some((plan) => plan.offsets.length < FIRST_TOKENS)) await clock.sleep(5)
 })
 
 Given('the instance list shows nothing new', function (this: ReclaimWorld) {
@@ -54,7 +54,7 @@
     const streams = entry.parts.streams as { moveTo: typeof entry.parts.streams.moveTo }
     const moveTo = streams.moveTo
     streams.moveTo = (id, target, signal) => {
-      if (!killed) killLater(engineNamed(this, target))
+      if (!killed) killAfterDelay(findEngine(this, target))
       killed = true
       return moveTo(id, target, signal)
     }
@@ -62,25 +62,25 @@
 })
 
 When('the engine with most plans is taken back with a notice of {int} seconds', function (this: ReclaimWorld, seconds: number) {
-  const most = Math.max(...this.deployment!.engines.map((engine) => engine.open()))
-  takeBack(this, this.deployment!.engines.filter((engine) => engine.open() === most).slice(0, 1), seconds)
+  const maxOpen = Math.max(...this.deployment!.engines.map((engine) => engine.open()))
+  reclaimEngines(this, this.deployment!.engines.filter((engine) => engine.open() === maxOpen).slice(0, 1), seconds)
 })
 
 When('one engine is taken back with a notice of {int} seconds', function (this: ReclaimWorld, seconds: number) {
-  takeBack(this, this.deployment!.engines.slice(0, 1), seconds)
+  reclaimEngines(this, this.deployment!.engines.slice(0, 1), seconds)
 })
 
 When('a failure domain\'s engines are taken back with a notice of {int} seconds', function (this: ReclaimWorld, seconds: number) {
-  takeBack(this, enginesOf(this, DOMAIN), seconds)
+  reclaimEngines(this, enginesInDomain(this, DOMAIN), seconds)
 })
 
 When('a failure domain with all that runs there is taken back with a notice of {int} seconds', function (this: ReclaimWorld, seconds: number) {
-  this.leaving = enginesOf(this, DOMAIN)
+  this.leaving = enginesInDomain(this, DOMAIN)
   this.deployment!.cloud.state.reclaimDomain(DOMAIN, seconds * SECOND)
 })
 
 Then('every plan arrives whole, is its own, and has every offset once', async function (this: ReclaimWorld) {
-  assert.ok(this.leaving.some((engine) => engine.started.length > 0), 'the reclaim hit nothing')
+  assert.ok(this.leaving.some((engine) => engine.started.length > 0), 'no reclaimed engine had started an answer')
   for (const { messages, offsets, answer } of this.plans) {
     assert.equal((await answer).text, answerWords(messages, ANSWER_TOKENS).join(''))
     assert.deepEqual(offsets, Array.from({ length: ANSWER_TOKENS }, (_, index) => index))
@@ -88,38 +88,38 @@
 })
 
 Then('no token was computed again', function (this: ReclaimWorld) {
-  assert.equal(recomputed(this), 0)
-  assert.ok(imported(this) > 0)
+  assert.equal(sumRecomputedTokens(this), 0)
+  assert.ok(sumImportedTokens(this) > 0)
 })
 
 Then('some plans moved with their cache and the rest was computed again', function (this: ReclaimWorld) {
-  assert.ok(imported(this) > 0, 'nothing was moved')
-  assert.ok(recomputed(this) > 0, 'nothing was computed again')
+  assert.ok(sumImportedTokens(this) > 0, 'nothing was moved')
+  assert.ok(sumRecomputedTokens(this) > 0, 'nothing was computed again')
 })
 
 Then('the tokens computed again are counted as the engines counted them', function (this: ReclaimWorld) {
   const counted = this.deployment!.entries.flatMap((entry) => entry.parts.executions.readable()).reduce((sum, execution) => sum + execution.recomputedTokens, 0)
-  assert.equal(counted, recomputed(this))
+  assert.equal(counted, sumRecomputedTokens(this))
 })
 
 Then('no plan moved to an engine of that failure domain', function (this: ReclaimWorld) {
   for (const engine of this.leaving) assert.equal(engine.tokens.imported, 0)
 })
 
-// A caller would see its question cut a few seconds later: the node still sends to an engine that
-// the cloud is taking back, because the instance list, which lags, shows it as live.
+// Failure guarded against: a question is interrupted because a node still sends to an engine that the cloud
+// is reclaiming. The instance list lags and shows the engine as live.
 Then('after {int} seconds no node sends it anything new', async function (this: ReclaimWorld, seconds: number) {
   await clock.sleep(seconds * SECOND)
   const engine = this.leaving[0] as EngineStandIn
   assert.ok(engine.alive())
   for (const entry of this.deployment!.entries) assert.equal(entry.parts.directory.find(engine.upstream)?.leaving, true, entry.incarnation)
-  const before = engine.started.length
+  const startedBefore = engine.started.length
   const questions = Array.from({ length: 40 }, (_, index) => this.client!.chat({ class: 'short-question', messages: [{ role: 'user', content: `Valve ${index}?` }], maxTokens: 3 }))
   await Promise.all(questions)
-  assert.equal(engine.started.length, before)
+  assert.equal(engine.started.length, startedBefore)
 })
 
-function writePlan (world: ReclaimWorld, content: string): WrittenPlan {
+function requestPlan (world: ReclaimWorld, content: string): Plan {
   const messages = [{ role: 'user' as const, content }]
   const offsets: number[] = []
   const answer = world.client!.chat({ class: 'service-plan', messages, maxTokens: ANSWER_TOKENS, onToken: (_text, offset) => offsets.push(offset) })
@@ -127,29 +127,29 @@
   return { messages, offsets, answer }
 }
 
-function takeBack (world: ReclaimWorld, engines: readonly EngineStandIn[], seconds: number): void {
+function reclaimEngines (world: ReclaimWorld, engines: readonly EngineStandIn[], seconds: number): void {
   world.leaving = [...engines]
   const { cloud, fleet } = world.deployment!
   cloud.state.reclaim(engines.map((engine) => fleet.instanceOf(engine.upstream)), seconds * SECOND)
 }
 
-function enginesOf (world: ReclaimWorld, domain: FailureDomain): EngineStandIn[] {
+function enginesInDomain (world: ReclaimWorld, domain: FailureDomain): EngineStandIn[] {
   const views = world.deployment!.entries[0]!.parts.directory.views().filter((view) => view.failureDomain === domain)
   return world.deployment!.engines.filter((engine) => views.some((view) => view.name === engine.upstream))
 }
 
-function killLater (engine: EngineStandIn): void {
+function killAfterDelay (engine: EngineStandIn): void {
   setTimeout(() => { engine.kill().catch(() => {}) }, SECOND / 4)
 }
 
-function engineNamed (world: ReclaimWorld, name: UpstreamName): EngineStandIn {
+function findEngine (world: ReclaimWorld, name: UpstreamName): EngineStandIn {
   return world.deployment!.engines.find((engine) => engine.upstream === name) as EngineStandIn
 }
 
-function recomputed (world: ReclaimWorld): number {
+function sumRecomputedTokens (world: ReclaimWorld): number {
   return world.deployment!.engines.reduce((sum, engine) => sum + engine.tokens.recomputed, 0)
 }
 
-function imported (world: ReclaimWorld): number {
+function sumImportedTokens (world: ReclaimWorld): number {
   return world.deployment!.engines.reduce((sum, engine) => sum + engine.tokens.imported, 0)
 }
--- a/features/steps/whole-path.steps.ts
+++ b/features/steps/whole-path.steps.ts
@@ -1,4 +1,4 @@
-/** Steps about one caller and a healthy deployment. */
+/** Steps for scenarios with one caller and a deployment without faults. */
 import assert from 'node:assert/strict'
 import { Given, Then, When } from '@cucumber/cucumber'
 import { createClient } from '../../src/client/index.js'
--- a/stand-ins/bin/demonstration.ts
+++ b/stand-ins/bin/demonstration.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /**
- * `npm start`: both sample deployments in one process, one after the other. Ends with exit code 0 when
- * each report agrees with what its callers saw, 1 otherwise.
+ * Command of `npm start`: runs both sample deployments in one process, one after the other. The exit code
+ * is 0 if each report agrees with the outcomes that its callers recorded, 1 otherwise.
  */
 import { join } from 'node:path'
 import { cac } from 'cac'
--- a/stand-ins/bin/hornbeamgap-stand-ins.ts
+++ b/stand-ins/bin/hornbeamgap-stand-ins.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** `hornbeamgap-stand-ins`: a platform and its upstreams as stand-ins, for trying the real binaries. */
+/** Command `hornbeamgap-stand-ins`: runs stand-ins of a platform and its upstreams, for trials of the real binaries. */
 import { runServer } from '../../src/bin/command-line.js'
 import { createSystemClock } from '../../src/clock.js'
 import { createRandom } from '../../src/random.js'
--- a/stand-ins/engine.ts
+++ b/stand-ins/engine.ts
@@ -9,7 +9,7 @@
 import { createBatch } from './engine/batch.js'
 import { createCacheFeed } from './engine/cache-feed.js'
 import { createDesiredState } from './engine/desired-state.js'
-import { follow } from './engine/follower.js'
+import { writeStream } from './engine/follower.js'
 import { createLink } from './engine/link.js'
 import { createLoadHistory } from './engine/load-history.js'
 import { createPrefixCache } from './engine/prefix-cache.js'
@@ -86,7 +86,7 @@
     const offset = body.continuation?.offset ?? 0
     const stream = createStream(body, offset, false)
     registry.enter(stream)
-    await follow(stream, offset, true, faults, call.response)
+    await writeStream(stream, offset, true, faults, call.response)
     return undefined
   }
 
@@ -104,7 +104,7 @@
       return {}
     }
     if (stream.state === 'moved') throw new StandInFailure(410, { error: { message: 'the stream has moved', verdict: 'ran' } })
-    await follow(stream, Number(call.query.get('offset') ?? 0), false, faults, call.response)
+    await writeStream(stream, Number(call.query.get('offset') ?? 0), false, faults, call.response)
     return undefined
   }
 
@@ -143,7 +143,7 @@
     faults,
     tokens,
     started,
-    startsOf: (text) => started.filter((body) => body.includes(text)).length,
+    countStarts: (text) => started.filter((body) => body.includes(text)).length,
     computed: () => tokens.prompt - tokens.cached + tokens.recomputed,
     open: registry.open,
     orders: state.obeyed,
--- a/stand-ins/engine/batch.ts
+++ b/stand-ins/engine/batch.ts
@@ -1,6 +1,6 @@
 /**
- * Continuous batching of an engine stand-in: each step computes a share of the waiting prompts and
- * one token of every answer in the batch; answers leave and join between steps.
+ * Continuous batching of an engine stand-in. Each step prefills up to one chunk of prompt tokens and
+ * decodes one token of every answer in the batch. Answers join and leave the batch between steps.
  */
 import type { Clock } from '../../src/clock.js'
 import { CRASH_MARK } from './types.js'
@@ -9,7 +9,7 @@
 import { isOpen, notify, setState } from './stream.js'
 import type { Stream } from './stream.js'
 
-/** Answers being computed and waiting. */
+/** The running answers and the queue of waiting ones. */
 export interface Batch {
   /** Adds an answer to the queue. */
   enter (stream: Stream): void
@@ -17,7 +17,7 @@
   waiting (): number
 }
 
-/** What the batch needs from its engine. */
+/** Dependencies of the batch on its engine. */
 export interface BatchContext {
   readonly shape: EngineShape
   readonly faults: EngineFaults
@@ -25,14 +25,16 @@
   readonly cache: PrefixCache
   readonly clock: Clock
   readonly signal: AbortSignal
-  /** Called when a prompt with the crash mark has been computed. */
+  /** Called after the prefill of a prompt that contains the crash mark. */
   readonly crash: () => void
 }
 
-/** Prompt tokens computed in one step, so that running answers do not wait for a long prompt. */
+/** Maximum prompt tokens prefilled in one step. The limit keeps a long prompt from delaying running answers. */
 const PREFILL_CHUNK = 512
 
 /**
+ * Creates a batch and starts its loop, which runs until `context.signal` aborts.
+ *
  * @example
  * const batch = createBatch(context)
  * batch.enter(stream)
@@ -40,34 +42,34 @@
 export function createBatch (context: BatchContext): Batch {
   const { shape, faults, clock, signal } = context
   let queue: Stream[] = []
-  let members: Stream[] = []
+  let active: Stream[] = []
   let wake: () => void = () => {}
 
-  /** Smaller priorities first; among equals the earlier arrival. */
+  /** Fills the batch from the queue: the smallest priority value first, then the earliest arrival. */
   function admit (): void {
     queue = queue.filter((stream) => stream.state === 'waiting')
-    while (members.length < shape.batch && queue.length > 0) {
-      const first = queue.reduce((best, stream) => stream.body.priority < best.body.priority ? stream : best)
-      queue = queue.filter((stream) => stream !== first)
-      prepare(context, first)
-      members.push(first)
+    while (active.length < shape.batch && queue.length > 0) {
+      const next = queue.reduce((best, stream) => stream.body.priority < best.body.priority ? stream : best)
+      queue = queue.filter((stream) => stream !== next)
+      startStream(context, next)
+      active.push(next)
     }
   }
 
   async function step (): Promise<void> {
-    const prefilling = takePrefill(members)
-    const decoding = members.filter((stream) => stream.prefillLeft === 0 && !isStalled(faults, stream))
+    const prefillTokens = computePrefill(active)
+    const decoding = active.filter((stream) => stream.prefillRemaining === 0 && !isStalled(faults, stream))
     const decodeTime = decoding.length === 0 ? 0 : shape.tokenTime * (1 + shape.batchCost * (decoding.length - 1))
-    const duration = (decodeTime + prefilling / shape.prefillRate) * faults.slowdown
+    const duration = (decodeTime + prefillTokens / shape.prefillRate) * faults.slowdown
     await clock.sleep(duration > 0 ? duration : shape.tokenTime, signal)
-    for (const stream of decoding) advance(context, stream)
-    members = members.filter((stream) => stream.state === 'running')
+    for (const stream of decoding) advanceStream(context, stream)
+    active = active.filter((stream) => stream.state === 'running')
   }
 
   async function loop (): Promise<void> {
     while (!signal.aborted) {
       admit()
-      if (members.length > 0) await step()
+      if (active.length > 0) await step()
       else await new Promise<void>((resolve) => { wake = resolve })
     }
   }
@@ -80,19 +82,19 @@
       queue.push(stream)
       wake()
     },
-    running: () => members.filter(isOpen).length,
+    running: () => active.filter(isOpen).length,
     waiting: () => queue.filter(isOpen).length
   }
 }
 
-/** Only what is not cached is computed; a continued answer's tokens are computed again as well. */
-function prepare (context: BatchContext, stream: Stream): void {
+/** Sets the tokens to prefill: uncached prompt tokens, plus the existing tokens of a continued answer. */
+function startStream (context: BatchContext, stream: Stream): void {
   const { cache, tokens } = context
   stream.state = 'running'
   if (!stream.prepared) {
     stream.prepared = true
     stream.cachedTokens = Math.min(stream.promptTokens, cache.cachedTokens(stream.blocks))
-    stream.prefillLeft = stream.promptTokens - stream.cachedTokens + stream.sent
+    stream.prefillRemaining = stream.promptTokens - stream.cachedTokens + stream.sent
     countPrompt(tokens, stream)
   }
   cache.store(stream.blocks)
@@ -103,22 +105,22 @@
     tokens.prompt += stream.promptTokens
     tokens.cached += stream.cachedTokens
   } else {
-    tokens.recomputed += stream.prefillLeft
+    tokens.recomputed += stream.prefillRemaining
   }
 }
 
-/** Computes up to one chunk of prompts, in order of arrival in the batch. */
-function takePrefill (members: readonly Stream[]): number {
-  let left = PREFILL_CHUNK
+/** Prefills up to one chunk of prompt tokens, in the order in which the streams joined the batch. @returns tokens prefilled */
+function computePrefill (members: readonly Stream[]): number {
+  let budget = PREFILL_CHUNK
   for (const stream of members) {
-    const taken = Math.min(left, stream.prefillLeft)
-    stream.prefillLeft -= taken
-    left -= taken
+    const computed = Math.min(budget, stream.prefillRemaining)
+    stream.prefillRemaining -= computed
+    budget -= computed
   }
-  return PREFILL_CHUNK - left
+  return PREFILL_CHUNK - budget
 }
 
-function advance (context: BatchContext, stream: Stream): void {
+function advanceStream (context: BatchContext, stream: Stream): void {
   if (stream.state !== 'running') return
   if (stream.body.messages.some((message) => message.content.includes(CRASH_MARK))) return context.crash()
   if (stream.sent < stream.words.length) {
--- a/stand-ins/engine/desired-state.ts
+++ b/stand-ins/engine/desired-state.ts
@@ -1,19 +1,19 @@
-/** Orders of an engine stand-in: desired state, fencing checked or ignored, weights that take time. */
+/** Desired state of an engine stand-in: accepts orders, with or without a fencing check, and loads weights, which takes time. */
 import type { EngineOrder } from '../../src/protocols/engine.js'
 
-/** What an engine holds and has been told to hold. */
+/** Loaded models and adapters of an engine, and the orders it has accepted. */
 export interface DesiredState {
-  /** @returns whether the order was obeyed */
+  /** @returns whether the order was accepted; a stale order is refused */
   order (order: EngineOrder): boolean
   models (): readonly string[]
   adapters (): readonly string[]
   role (): EngineOrder['role']
   generation (): number
-  /** Orders obeyed, oldest first. */
+  /** Accepted orders, oldest first. */
   readonly obeyed: readonly EngineOrder[]
 }
 
-/** What it needs from its engine. */
+/** Dependencies of the desired state on its engine. */
 export interface DesiredStateOptions {
   readonly checkFencing: boolean
   readonly models: readonly string[]
@@ -23,6 +23,8 @@
 }
 
 /**
+ * Creates the state with the models and adapters that are loaded at the start.
+ *
  * @example
  * const state = createDesiredState({ checkFencing: true, models: [], adapters: [], loadWeights, signal })
  */
@@ -39,17 +41,17 @@
     return order.fencing < highestFencing || (order.fencing === highestFencing && last !== undefined && order.generation < last.generation)
   }
 
-  /** Old weights go first: they do not fit beside the new ones. A newer order ends the loading. */
+  /** Unloads the old model first, since both models do not fit in memory. A newer order aborts the loading. */
   async function load (order: EngineOrder): Promise<void> {
     loading.abort()
     loading = new AbortController()
     const signal = AbortSignal.any([loading.signal, options.signal])
-    const wanted = modelName(order)
-    if (!models.includes(wanted)) {
+    const modelId = modelName(order)
+    if (!models.includes(modelId)) {
       models = []
       adapters = []
-      await options.loadWeights(wanted, signal)
-      models = [wanted]
+      await options.loadWeights(modelId, signal)
+      models = [modelId]
     }
     adapters = adapters.filter((adapter) => order.adapters.includes(adapter))
     for (const adapter of order.adapters.filter((name) => !adapters.includes(name))) {
@@ -74,7 +76,7 @@
   }
 }
 
-/** The first version goes by the model's bare name. */
+/** Version 1 has the model's name without a version suffix. */
 function modelName (order: EngineOrder): string {
   return order.version === '1' ? order.model : `${order.model}@${order.version}`
 }
--- a/stand-ins/engine/link.ts
+++ b/stand-ins/engine/link.ts
@@ -1,33 +1,35 @@
-/** The link between engine stand-ins: exports share its rate in small pieces, turn by turn. */
+/** Outgoing network link of an engine stand-in. Concurrent exports share its rate by alternating in chunks. */
 import type { Clock } from '../../src/clock.js'
 
-/** An engine's outgoing link. */
+/** A link with a fixed rate. */
 export interface Link {
-  /** Resolves when so many tokens of cache have passed. */
+  /** Resolves when the cache of this many tokens has been transferred. */
   transfer (tokens: number, signal: AbortSignal): Promise<void>
 }
 
-/** Tokens that pass before the next export has its turn. */
-const PIECE = 256
+/** Tokens of one export that are transferred before the link serves the next export. */
+const CHUNK_TOKENS = 256
 
 /**
+ * Creates an idle link.
+ *
  * @param rate tokens per millisecond
  * @example
  * const link = createLink(clock, 40)
- * await link.transfer(4_000, signal) // 100 ms when nobody else uses it
+ * await link.transfer(4_000, signal) // 100 ms if there is no other transfer
  */
 export function createLink (clock: Clock, rate: number): Link {
-  let turn: Promise<void> = Promise.resolve()
+  let previous: Promise<void> = Promise.resolve()
 
-  function piece (tokens: number, signal: AbortSignal): Promise<void> {
-    const pass = turn.then(() => clock.sleep(tokens / rate, signal))
-    turn = pass.catch(() => {})
-    return pass
+  function transferChunk (tokens: number, signal: AbortSignal): Promise<void> {
+    const transferred = previous.then(() => clock.sleep(tokens / rate, signal))
+    previous = transferred.catch(() => {})
+    return transferred
   }
 
   return {
     transfer: async (tokens, signal) => {
-      for (let left = tokens; left > 0; left -= PIECE) await piece(Math.min(left, PIECE), signal)
+      for (let remaining = tokens; remaining > 0; remaining -= CHUNK_TOKENS) await transferChunk(Math.min(remaining, CHUNK_TOKENS), signal)
     }
   }
 }
--- a/stand-ins/engine/load-history.ts
+++ b/stand-ins/engine/load-history.ts
@@ -1,15 +1,15 @@
-/** Load of an engine stand-in as it was some time ago. */
+/** Delayed load reports of an engine stand-in. */
 import type { Clock, Milliseconds } from '../../src/clock.js'
 
-/** What changes quickly in a load report. */
+/** The figures of a load report that change quickly. */
 export interface LoadFigures {
   readonly running: number
   readonly waiting: number
   readonly cacheUsed: number
 }
 
-/** Figures with their age. */
-export interface LaggingLoad {
+/** Load figures and their age. */
+export interface DelayedLoad {
   readonly figures: LoadFigures
   readonly ageMs: Milliseconds
 }
@@ -20,22 +20,24 @@
 }
 
 /**
- * @param lag age of what is told, in milliseconds; 0 tells the present
- * @param measure the present figures
- * @returns records the present at each call and answers with the newest record older than the lag
+ * Creates a load report that lags behind the actual load.
+ *
+ * @param lag minimum age of the reported figures; 0 reports the current ones
+ * @param measure returns the current figures
+ * @returns function that records the current figures at each call and returns the newest record at least as old as the lag
  * @example
  * const load = createLoadHistory(clock, 500, measure)
  * load().ageMs // at least 500 once the engine is that old
  */
-export function createLoadHistory (clock: Clock, lag: Milliseconds, measure: () => LoadFigures): () => LaggingLoad {
+export function createLoadHistory (clock: Clock, lag: Milliseconds, measure: () => LoadFigures): () => DelayedLoad {
   let records: TimedFigures[] = [{ at: clock.now(), figures: measure() }]
 
   return () => {
     const now = clock.now()
     records.push({ at: now, figures: measure() })
-    const newest = Math.max(0, records.findLastIndex((record) => record.at <= now - lag))
-    records = records.slice(newest)
-    const told = records[0] as TimedFigures
-    return { figures: told.figures, ageMs: now - told.at }
+    const newestIndex = Math.max(0, records.findLastIndex((record) => record.at <= now - lag))
+    records = records.slice(newestIndex)
+    const reported = records[0] as TimedFigures
+    return { figures: reported.figures, ageMs: now - reported.at }
   }
 }
--- a/stand-ins/engine/messages.ts
+++ b/stand-ins/engine/messages.ts
@@ -1,9 +1,11 @@
-/** Bodies that come to an engine stand-in, and its refusals. */
+/** Parsing of request bodies and creation of refusals for engine stand-ins. */
 import type * as z from 'zod'
 import { StandInFailure } from '../http-server.js'
 import type { StandInCall } from '../http-server.js'
 
 /**
+ * Parses the body of a call.
+ *
  * @throws StandInFailure 400 for a body that is not JSON or does not match
  * @example
  * const body = parseCall(engineBodySchema, call)
@@ -17,7 +19,7 @@
 }
 
 /**
- * A refusal of what has not run.
+ * Creates a failure with the verdict `not-run`.
  *
  * @example
  * throw refusal(503, 'leaving')
--- a/stand-ins/engine/movement.ts
+++ b/stand-ins/engine/movement.ts
@@ -1,4 +1,4 @@
-/** Movement of a stream and its cache from one engine stand-in to another over the link. */
+/** Moves a stream and its cache from one engine stand-in to another over the link. */
 import * as z from 'zod'
 import { addressSchema } from '../../src/identifiers.js'
 import type { Address } from '../../src/identifiers.js'
@@ -13,13 +13,13 @@
 import type { EngineBody, ImportedStream, Stream } from './stream.js'
 import type { EngineFaults, EngineTokens } from './types.js'
 
-/** The two ends of a movement. */
+/** Handlers of the calls that export and import a stream. */
 export interface Movement {
   exportStream (call: StandInCall): Promise<object>
   importStream (call: StandInCall): object
 }
 
-/** What movement needs from its engine. */
+/** Dependencies of a movement on its engine. */
 export interface MovementContext {
   readonly registry: StreamRegistry
   readonly link: Link
@@ -27,17 +27,19 @@
   readonly tokens: EngineTokens
   readonly connections: Connections
   readonly signal: AbortSignal
-  /** @throws StandInFailure when the engine takes nothing new */
+  /** @throws StandInFailure if the engine accepts no new work */
   readonly refuseIfUnable: (body: EngineBody) => void
 }
 
-/** Bound on the last step of an export, at the target. */
-const IMPORT_TIMEOUT = 2_000
+/** Idle timeout of the import call to the target, which is the last step of an export. */
+const IMPORT_TIMEOUT_MS = 2_000
 
 const exportSchema = z.object({ handle: z.string(), target: addressSchema })
 const importAnswerSchema = z.object({ handle: z.string() })
 
 /**
+ * Creates the handlers.
+ *
  * @example
  * const movement = createMovement(context)
  */
@@ -46,12 +48,12 @@
 
   async function sendStream (stream: Stream, target: Address): Promise<string> {
     const imported: ImportedStream = { body: stream.body, offset: stream.sent }
-    const exchange = { address: target, method: 'POST' as const, path: '/v1/cache/import', body: imported, idleTimeout: IMPORT_TIMEOUT, signal }
+    const exchange = { address: target, method: 'POST' as const, path: '/v1/cache/import', body: imported, idleTimeout: IMPORT_TIMEOUT_MS, signal }
     return (await exchangeJson(context.connections, exchange, importAnswerSchema)).handle
   }
 
-  /** After a failed export the answer goes on here, with its prompt still computed. */
-  function takeBack (stream: Stream): void {
+  /** Requeues the stream after a failed export. Its prompt stays prefilled. */
+  function resumeLocally (stream: Stream): void {
     if (stream.state !== 'exporting') return
     stream.state = 'waiting'
     registry.enter(stream)
@@ -66,12 +68,12 @@
       try {
         const moved = stream.promptTokens + stream.sent
         await link.transfer(moved, signal)
-        const there = await sendStream(stream, target)
+        const targetHandle = await sendStream(stream, target)
         if (stream.state === 'exporting') setState(stream, 'moved')
         if (faults.loseExportReply) call.response.destroy()
-        return { tokens: moved, handle: there }
+        return { tokens: moved, handle: targetHandle }
       } catch (error) {
-        takeBack(stream)
+        resumeLocally(stream)
         throw new StandInFailure(502, { error: { message: `export failed: ${String(error)}`, verdict: 'may-have-run' } })
       }
     },
@@ -89,5 +91,5 @@
 function refuseExport (faults: EngineFaults, stream: Stream): void {
   if (faults.refuseExport) throw refusal(503, 'export refused')
   if (!isOpen(stream)) throw new StandInFailure(409, { error: { message: `the stream is ${stream.state}`, verdict: 'ran' } })
-  if (!stream.prepared || stream.prefillLeft > 0) throw refusal(409, 'the prompt has not been computed yet')
+  if (!stream.prepared || stream.prefillRemaining > 0) throw refusal(409, 'the prompt has not been computed yet')
 }
--- a/stand-ins/engine/prefix-cache.ts
+++ b/stand-ins/engine/prefix-cache.ts
@@ -1,28 +1,30 @@
-/** Prefix cache of an engine stand-in: hash chains of prompt blocks, the least recently used go first. */
+/** Prefix cache of an engine stand-in: hash chains of prompt blocks with least-recently-used eviction. */
 import { BLOCK_CHARACTERS } from '../../src/protocols/prompt.js'
 
-/** One change, for the engine's cache feed. */
+/** A change of the cache, for the engine's cache feed. */
 export interface CacheChange {
   readonly kind: 'stored' | 'evicted'
-  /** Hashes of blocks, longest prefix last. */
+  /** Block hashes. Of stored blocks the longest prefix is last. */
   readonly blocks: readonly string[]
 }
 
-/** Blocks that are cached now. */
+/** The cached blocks. */
 export interface PrefixCache {
   /** Tokens of the longest cached prefix. */
   cachedTokens (blocks: readonly string[]): number
   /** Stores a prompt's blocks, or marks them as used. */
   store (blocks: readonly string[]): void
-  /** Share of memory in use. */
+  /** Fraction of the capacity in use. */
   used (): number
 }
 
-/** Tokens of a block, at four characters each. */
+/** Tokens in a block, at four characters per token. */
 const BLOCK_TOKENS = BLOCK_CHARACTERS / 4
 
 /**
- * @param capacity tokens that fit
+ * Creates an empty cache.
+ *
+ * @param capacity maximum number of cached tokens
  * @param onChange called for each store and each eviction
  * @example
  * const cache = createPrefixCache(65_536, (change) => feed.push(change))
@@ -30,12 +32,12 @@
 export function createPrefixCache (capacity: number, onChange: (change: CacheChange) => void): PrefixCache {
   /** Least recently used first. */
   const cached = new Set<string>()
-  const most = Math.floor(capacity / BLOCK_TOKENS)
+  const maxBlocks = Math.floor(capacity / BLOCK_TOKENS)
 
   function evict (): string[] {
     const evicted: string[] = []
     for (const block of cached) {
-      if (cached.size <= most) break
+      if (cached.size <= maxBlocks) break
       cached.delete(block)
       evicted.push(block)
     }
@@ -48,16 +50,16 @@
       return (missing < 0 ? blocks.length : missing) * BLOCK_TOKENS
     },
     store: (blocks) => {
-      const fresh = blocks.filter((block) => !cached.has(block))
-      // The longest prefix is touched first, so that the shortest, which most prompts share, goes last.
+      const newBlocks = blocks.filter((block) => !cached.has(block))
+      // Marks the longest prefix as used first, so that the shortest, which most prompts share, is evicted last.
       for (const block of blocks.toReversed()) {
         cached.delete(block)
         cached.add(block)
       }
-      if (fresh.length > 0) onChange({ kind: 'stored', blocks: fresh })
+      if (newBlocks.length > 0) onChange({ kind: 'stored', blocks: newBlocks })
       const evicted = evict()
       if (evicted.length > 0) onChange({ kind: 'evicted', blocks: evicted })
     },
-    used: () => most === 0 ? 1 : cached.size / most
+    used: () => maxBlocks === 0 ? 1 : cached.size / maxBlocks
   }
 }
--- a/stand-ins/engine/registry.ts
+++ b/stand-ins/engine/registry.ts
@@ -1,4 +1,4 @@
-/** Streams of an engine stand-in by their handles, remembered for a while after their end. */
+/** Streams of an engine stand-in by handle, including a bounded number of ended ones. */
 import { StandInFailure } from '../http-server.js'
 import type { Batch } from './batch.js'
 import { isOpen } from './stream.js'
@@ -6,26 +6,28 @@
 
 /** The streams of one engine. */
 export interface StreamRegistry {
-  /** Remembers a stream and queues it. */
+  /** Adds a stream and queues it for the batch. */
   enter (stream: Stream): void
-  /** @throws StandInFailure 404 */
+  /** @throws StandInFailure 404 if the handle is unknown */
   find (handle: string): Stream
-  /** Streams that run or wait. */
+  /** Number of streams that are running or waiting. */
   open (): number
 }
 
-/** Streams remembered after their end, so that a late resumption still finds them. */
-const KEPT_STREAMS = 4_096
+/** Beyond this number of streams the oldest ended one is removed. Ended streams are retained so that late resumptions find them. */
+const MAX_RETAINED_STREAMS = 4_096
 
 /**
+ * Creates an empty registry.
+ *
  * @example
  * const registry = createStreamRegistry(batch)
  */
 export function createStreamRegistry (batch: Batch): StreamRegistry {
   const streams = new Map<string, Stream>()
 
-  function forgetOldest (): void {
-    const oldest = [...streams.values()].find((known) => !isOpen(known) && known.followers.size === 0)
+  function removeOldest (): void {
+    const oldest = [...streams.values()].find((candidate) => !isOpen(candidate) && candidate.followers.size === 0)
     if (oldest !== undefined) streams.delete(oldest.handle)
   }
 
@@ -33,7 +35,7 @@
     enter: (stream) => {
       streams.set(stream.handle, stream)
       batch.enter(stream)
-      if (streams.size > KEPT_STREAMS) forgetOldest()
+      if (streams.size > MAX_RETAINED_STREAMS) removeOldest()
     },
     find: (handle) => {
       const stream = streams.get(handle)
--- a/stand-ins/engine/stream.ts
+++ b/stand-ins/engine/stream.ts
@@ -1,11 +1,11 @@
-/** One answer at an engine stand-in, from its arrival to long after its last connection. */
+/** An answer of an engine stand-in. It exists independently of connections and outlives its last one. */
 import { randomUUID } from 'node:crypto'
 import * as z from 'zod'
 import { prefixBlocks, promptTokens } from '../../src/protocols/prompt.js'
 import { chatMessageSchema } from '../../src/request/index.js'
 import { answerWords } from './words.js'
 
-/** Body of a request as engines receive it. */
+/** Request body that engines receive. */
 export const engineBodySchema = z.object({
   model: z.string(),
   messages: z.array(chatMessageSchema).min(1),
@@ -16,45 +16,47 @@
 })
 export type EngineBody = z.infer<typeof engineBodySchema>
 
-/** A stream that another engine sends over. */
+/** A stream that another engine exports to this one. */
 export const importSchema = z.object({ body: engineBodySchema, offset: z.number().int().nonnegative() })
 export type ImportedStream = z.infer<typeof importSchema>
 
 /**
- * - `waiting`: for a place in the batch.
- * - `running`: being computed.
- * - `exporting`: held while its cache is on the way to another engine.
- * - `moved`: continues at another engine.
+ * State of a stream:
+ *
+ * - `waiting`: queued for the batch.
+ * - `running`: in the batch.
+ * - `exporting`: paused while its cache is transferred to another engine.
+ * - `moved`: continued by another engine.
  */
 export type StreamState = 'waiting' | 'running' | 'exporting' | 'moved' | 'finished' | 'cancelled'
 
-/** One answer and where it stands. */
+/** An answer and its progress. */
 export interface Stream {
   readonly handle: string
   readonly body: EngineBody
   readonly words: readonly string[]
   readonly blocks: readonly string[]
   readonly promptTokens: number
-  /** Its cache came from another engine: nothing has to be computed again. */
+  /** The cache was imported from another engine, so nothing has to be recomputed. */
   readonly imported: boolean
-  /** Whether it has had a place in the batch; its prompt is then computed once, not again. */
+  /** Whether the tokens to prefill have been set. This happens once, so a requeued stream is not prefilled again. */
   prepared: boolean
   /** Prompt tokens found in the cache. */
   cachedTokens: number
-  /** Tokens of prompt, and of an answer continued, that are still to be computed. */
-  prefillLeft: number
-  /** Tokens of the answer that exist. */
+  /** Tokens of the prompt, and of a continued answer, that are still to be prefilled. */
+  prefillRemaining: number
+  /** Tokens of the answer generated so far, including those that existed when the stream was created. */
   sent: number
   state: StreamState
-  /** Called after each change, once for every follower. */
+  /** Callbacks of the followers, called after each change. */
   readonly followers: Set<() => void>
 }
 
 /**
- * A stream that begins here, or continues here what another engine began.
+ * Creates a stream for a new answer, or for one that another engine began.
  *
- * @param offset tokens of the answer that exist already
- * @param imported whether their cache came along
+ * @param offset number of answer tokens that exist already
+ * @param imported whether the cache was imported from the other engine
  * @example
  * const stream = createStream(body, body.continuation?.offset ?? 0, false)
  */
@@ -68,7 +70,7 @@
     imported,
     prepared: imported,
     cachedTokens: 0,
-    prefillLeft: 0,
+    prefillRemaining: 0,
     sent: offset,
     state: 'waiting',
     followers: new Set()
@@ -76,7 +78,7 @@
 }
 
 /**
- * Changes a stream's state and tells its followers.
+ * Changes a stream's state and notifies its followers.
  *
  * @example
  * setState(stream, 'cancelled')
@@ -87,7 +89,7 @@
 }
 
 /**
- * Tells followers that a stream has changed.
+ * Notifies followers that a stream has changed.
  *
  * @example
  * notify(stream)
@@ -97,7 +99,7 @@
 }
 
 /**
- * Whether a stream takes or waits for a place in the batch.
+ * Whether a stream is in the batch or queued for it.
  *
  * @example
  * streams.filter(isOpen).length
--- a/stand-ins/engine/types.ts
+++ b/stand-ins/engine/types.ts
@@ -1,4 +1,4 @@
-/** What an engine stand-in is made of, which faults it has, and what tests read from it. */
+/** Types of an engine stand-in: its performance, its faults, its options and the state that tests read. */
 import type { Clock, Milliseconds } from '../../src/clock.js'
 import type { UpstreamName } from '../../src/identifiers.js'
 import type { EngineOrder } from '../../src/protocols/engine.js'
@@ -6,107 +6,107 @@
 import type { FaultSwitch } from '../faults.js'
 import type { StandInServer } from '../http-server.js'
 
-/** How fast and how large an engine is. */
+/** Performance and capacity of an engine. */
 export interface EngineShape {
-  /** Prompt tokens computed per millisecond. */
+  /** Prompt tokens prefilled per millisecond. */
   readonly prefillRate: number
-  /** Time for one token of a single running answer. */
+  /** Time to decode one token if only one answer runs. */
   readonly tokenTime: Milliseconds
-  /** Share of `tokenTime` that each further running answer adds to a step. */
+  /** Fraction of `tokenTime` that each further running answer adds to a step. */
   readonly batchCost: number
-  /** Answers decoded at a time. */
+  /** Maximum number of answers in the batch. */
   readonly batch: number
-  /** Prompt tokens that the prefix cache holds. */
+  /** Capacity of the prefix cache in prompt tokens. */
   readonly cacheTokens: number
-  /** Tokens of cache that the link to other engines carries per millisecond, shared by all exports. */
+  /** Rate of the link to other engines, in cached tokens per millisecond. All exports share it. */
   readonly linkRate: number
-  /** Age of load reports. */
+  /** Minimum age of the figures in load reports. */
   readonly loadLag: Milliseconds
   /** Delay of the cache feed. */
   readonly cacheFeedDelay: Milliseconds
-  /** Time to load a model or an adapter when no weight store is given. */
+  /** Time to load a model or an adapter if `EngineOptions.loadWeights` is not given. */
   readonly loadTime: Milliseconds
 }
 
-/** Faults of an engine beside those of its network face. All are off at the start. */
+/** Faults of an engine, in addition to those of its HTTP server. All are off at the start. */
 export interface EngineFaults {
   /** Answers 503 with verdict `not-run` to new requests. */
   refuse: boolean
   /** Multiplies every duration. */
   slowdown: number
-  /** Decoding of each answer stops for good after this many of its tokens; connections stay open. */
+  /** Decoding of each answer stops permanently after this many of its tokens; connections stay open. */
   stallAfter: number | undefined
-  /** The connection that began an answer goes silent after this many tokens; a resumed one works. */
+  /** The connection that began an answer sends nothing more after this many tokens; a connection that resumes the answer works. */
   silentAfter: number | undefined
-  /** The connection that began an answer is reset after this many tokens; a resumed one works. */
+  /** The connection that began an answer is reset after this many tokens; a connection that resumes the answer works. */
   resetAfter: number | undefined
   /** Every token is sent twice, the second time after its successor. */
   duplicates: boolean
-  /** Every second pair of tokens is sent in the wrong order. */
+  /** Two tokens that are available at the same time are sent in swapped order. */
   outOfOrder: boolean
-  /** Events of another stream are mixed in; only their id tells. */
+  /** Events of another stream are mixed in, distinguishable only by their id. */
   foreignEvents: boolean
-  /** Share of cache events that are never told. */
+  /** Fraction of cache events that the feed drops. */
   cacheFeedGaps: number
-  /** Exports fail before anything has been moved. */
+  /** Exports fail before any transfer. */
   refuseExport: boolean
-  /** Exports fail after the target has the stream: the reply is lost. */
+  /** The reply to an export is lost after the target has imported the stream. */
   loseExportReply: boolean
 }
 
-/** Tokens by what was done for them. */
+/** Token counts since the start. */
 export interface EngineTokens {
-  /** Prompt tokens of first sends. */
+  /** Prompt tokens of requests that are not continuations. */
   prompt: number
-  /** Of these, found in the prefix cache. */
+  /** Those of `prompt` that were found in the prefix cache. */
   cached: number
-  /** Prompt and answer tokens computed again to continue what another engine began. */
+  /** Prompt and answer tokens recomputed to continue an answer that another engine began. */
   recomputed: number
-  /** Tokens of answers. */
+  /** Answer tokens decoded. */
   generated: number
-  /** Tokens received with an import, hence not computed here. */
+  /** Tokens whose cache was imported from another engine. */
   imported: number
 }
 
-/** How an engine is started. */
+/** Options of an engine stand-in. */
 export interface EngineOptions {
   readonly port: number
   readonly upstream: UpstreamName
   readonly clock: Clock
   readonly random: Random
   readonly shape?: Partial<EngineShape>
-  /** Whether orders with an older fencing number are refused. Default true. */
+  /** Whether orders with a stale fencing number are refused. Default true. */
   readonly checkFencing?: boolean
-  /** Models loaded at the start. Without it every model is served. */
+  /** Models loaded at the start. If undefined, the engine serves every model. */
   readonly models?: readonly string[]
   readonly adapters?: readonly string[]
-  /** Fetches weights; default is a sleep of `loadTime`. */
+  /** Loads weights. Default: sleeps for `loadTime`. */
   readonly loadWeights?: (name: string, signal: AbortSignal) => Promise<void>
 }
 
-/** A running engine. */
+/** A running engine stand-in. */
 export interface EngineStandIn extends StandInServer {
   readonly upstream: UpstreamName
   readonly faultSwitch: FaultSwitch
   readonly faults: EngineFaults
   readonly tokens: Readonly<EngineTokens>
-  /** Bodies of the requests begun here, continuations included. */
+  /** Bodies of the requests started at this engine, including continuations. */
   readonly started: readonly string[]
-  /** How many requests begun here have this text in their body. */
-  startsOf (text: string): number
-  /** Prompt tokens computed since the start, those computed again included. */
+  /** Number of requests started at this engine whose body contains the text. */
+  countStarts (text: string): number
+  /** Prompt tokens prefilled since the start, plus all recomputed tokens. */
   computed (): number
-  /** Requests running or waiting now. */
+  /** Number of requests running or waiting. */
   open (): number
-  /** Orders obeyed, oldest first. */
+  /** Accepted orders, oldest first. */
   readonly orders: readonly EngineOrder[]
-  /** Models that are loaded now. */
+  /** Models loaded at present. */
   models (): readonly string[]
   setLeaving (leaving: boolean): void
   alive (): boolean
-  /** Called once when the process dies, by `kill` or by a request that kills it. */
+  /** The listener is called once when the process ends, by `kill` or by a request that crashes it. */
   onDeath (listener: () => void): void
 }
 
-/** Text in a prompt that kills the process of every engine that has computed it. */
+/** A prompt that contains this text crashes every engine that has prefilled it. */
 export const CRASH_MARK = '[[this request crashes the engine]]'
--- a/stand-ins/machines/deployment.ts
+++ b/stand-ins/machines/deployment.ts
@@ -1,4 +1,4 @@
-/** A deployment on the users' machines in one process: store, API, upstreams and gateway nodes. */
+/** Runs a deployment on the users' platform in one process: metadata store, API, upstreams and gateway nodes. */
 import { createPlatform, gatewaySettingsSchema } from '../../platform/index.js'
 import { STORE_KEY } from '../../platform/names.js'
 import type { Clock } from '../../src/clock.js'
@@ -18,21 +18,23 @@
 export interface MachineDeployment {
   readonly store: MetadataStoreStandIn
   readonly api: DutyApiStandIn
-  /** Lines that the nodes wrote. */
+  /** Parsed log lines of all nodes. */
   readonly lines: readonly Record<string, unknown>[]
-  /** Writes a configuration as the operator does. */
+  /** Writes a configuration to the metadata store, as the operator does. */
   configure (configuration: object): void
-  /** Registers an upstream, or changes its record. */
+  /** Registers an upstream, or replaces its record. `record` overrides the default fields. */
   register (upstream: UpstreamStandIn, record?: object): void
   unregister (upstream: UpstreamStandIn): void
   startNode (name: string): Promise<GatewayNode>
   close (): Promise<void>
 }
 
-/** Connections of a node to the store and the API. */
+/** Maximum connections of a node to the metadata store and to the API, each. */
 const CONNECTIONS = 16
 
 /**
+ * Starts the metadata store and the API. Upstreams are registered and nodes are started through the result.
+ *
  * @example
  * const deployment = await createMachineDeployment(clock)
  * deployment.configure(configuration)
@@ -41,11 +43,11 @@
   const store = await serveMetadataStore(clock, createRandom(1))
   const api = await serveDutyApi(clock, createRandom(2))
   const lines: Record<string, unknown>[] = []
-  const closing: (() => Promise<unknown>)[] = []
-  let nodes = 0
+  const closeActions: (() => Promise<unknown>)[] = []
+  let startedNodes = 0
 
-  function settingsOf (name: string): GatewaySettings {
-    nodes += 1
+  function createSettings (name: string): GatewaySettings {
+    startedNodes += 1
     return gatewaySettingsSchema.parse({
       nodeName: name,
       ip: '127.0.0.1',
@@ -62,16 +64,16 @@
   }
 
   async function startNode (name: string): Promise<GatewayNode> {
-    const settings = settingsOf(name)
+    const settings = createSettings(name)
     const connections = createFreshConnections(CONNECTIONS)
     const node = await startGatewayNode({
       settings,
       platform: createPlatform(() => settings, connections),
       clock,
-      random: createRandom(nodes),
+      random: createRandom(startedNodes),
       log: createLog(name, 'info', clock.wall, (line) => { lines.push(JSON.parse(line)) })
     })
-    closing.unshift(async () => {
+    closeActions.unshift(async () => {
       await node.stop()
       await connections.destroy()
     })
@@ -92,7 +94,7 @@
     },
     startNode,
     close: async () => {
-      await Promise.all(closing.map((close) => close()))
+      await Promise.all(closeActions.map((close) => close()))
       await Promise.all([store.kill(), api.kill()])
     }
   }
--- a/stand-ins/machines/duty-api.ts
+++ b/stand-ins/machines/duty-api.ts
@@ -1,4 +1,4 @@
-/** The platform's API for usage reports and orders, with its check of fencing numbers. */
+/** Stand-in of the platform's API for usage reports and orders. Calls with a stale fencing number are refused. */
 import { DUTY_PATH, HEADER } from '../../platform/names.js'
 import type { Clock } from '../../src/clock.js'
 import { parseJson } from '../../src/json.js'
@@ -8,7 +8,7 @@
 import { serveStandIn, StandInFailure } from '../http-server.js'
 import type { StandInCall, StandInServer } from '../http-server.js'
 
-/** A call that was accepted. */
+/** An accepted call: its fencing number was not lower than the highest seen for its subject. */
 export interface AcceptedCall {
   readonly holder: string
   readonly fencing: number
@@ -23,6 +23,8 @@
 }
 
 /**
+ * Starts the API on a free port.
+ *
  * @example
  * const api = await serveDutyApi(clock, random)
  */
@@ -30,12 +32,12 @@
   const faultSwitch = createFaultSwitch(clock, random)
   const reports: AcceptedCall[] = []
   const orders: AcceptedCall[] = []
-  const highest = new Map<string, number>()
+  const highestFencing = new Map<string, number>()
 
   function accept (subject: string, call: StandInCall, accepted: AcceptedCall[]): object {
     const fencing = Number(call.headers[HEADER.fencing])
-    if (fencing < (highest.get(subject) ?? 0)) throw new StandInFailure(409, { error: 'a higher fence was seen' })
-    highest.set(subject, fencing)
+    if (fencing < (highestFencing.get(subject) ?? 0)) throw new StandInFailure(409, { error: 'a higher fence was seen' })
+    highestFencing.set(subject, fencing)
     accepted.push({ holder: String(call.headers[HEADER.dutyHolder]), fencing, body: parseJson(call.body.toString('utf8')) as Record<string, unknown> })
     return {}
   }
--- a/stand-ins/machines/metadata-store.ts
+++ b/stand-ins/machines/metadata-store.ts
@@ -1,4 +1,4 @@
-/** HTTP face of the key-value stand-in in the calls of the users' metadata store. */
+/** Serves the key-value stand-in over HTTP with the API of the users' metadata store. */
 import { HEADER, STORE_PATH } from '../../platform/names.js'
 import type { Clock } from '../../src/clock.js'
 import { parseJson } from '../../src/json.js'
@@ -18,13 +18,15 @@
   readonly faultSwitch: FaultSwitch
 }
 
-/** Items of one page. */
-const PAGE = 500
+/** Maximum items in one page of a range. */
+const PAGE_SIZE = 500
 
-/** Follows every key of a prefix in the order of keys. */
-const LAST = '\uffff'
+/** Appended to a prefix, sorts after every key with that prefix. */
+const RANGE_END_SUFFIX = '\uffff'
 
 /**
+ * Starts an empty metadata store on a free port.
+ *
  * @example
  * const store = await serveMetadataStore(clock, random)
  */
@@ -43,9 +45,9 @@
     case STORE_PATH.range: return getRange(store, query)
     case STORE_PATH.watch: return watch(store, clock, call)
     case STORE_PATH.transaction: return transact(store, parseJson(call.body.toString('utf8')) as Transaction)
-    case STORE_PATH.lease: return grant(store, parseJson(call.body.toString('utf8')) as { ttlMs: number })
+    case STORE_PATH.lease: return grantLease(store, parseJson(call.body.toString('utf8')) as { ttlMs: number })
   }
-  if (path.startsWith(STORE_PATH.renewLease) && method === 'POST') return keep(store, path.slice(STORE_PATH.renewLease.length))
+  if (path.startsWith(STORE_PATH.renewLease) && method === 'POST') return renewLease(store, path.slice(STORE_PATH.renewLease.length))
   if (path.startsWith(STORE_PATH.revokeLease) && method === 'DELETE') {
     store.revokeLease(path.slice(STORE_PATH.revokeLease.length))
     return {}
@@ -68,35 +70,35 @@
 function getRange (store: KeyValueStore, query: URLSearchParams): object {
   const prefix = query.get('prefix') ?? ''
   const after = query.get('after') ?? ''
-  const { entries, revision } = store.list(prefix, prefix + LAST)
-  const left = entries.filter((entry) => entry.key > after)
-  return { items: left.slice(0, PAGE).map(toItem), morePages: left.length > PAGE, asOf: revision }
+  const { entries, revision } = store.list(prefix, prefix + RANGE_END_SUFFIX)
+  const remaining = entries.filter((entry) => entry.key > after)
+  return { items: remaining.slice(0, PAGE_SIZE).map(toItem), morePages: remaining.length > PAGE_SIZE, asOf: revision }
 }
 
-/** Answers as soon as there is a change after the revision, or when the wait is over. */
+/** Long poll: answers as soon as there is a change after the revision, or without changes once `waitMs` has passed. */
 function watch (store: KeyValueStore, clock: Clock, { query, response }: StandInCall): Promise<object> {
   const after = Number(query.get('after'))
   if (after > store.revision()) throw new StandInFailure(410, { error: 'no such revision' })
   const prefix = query.get('prefix') ?? ''
   return new Promise((resolve) => {
-    const owner = new AbortController()
+    const finished = new AbortController()
     const answer = (changes: readonly KeyValueChange[]): void => {
-      if (owner.signal.aborted) return
-      owner.abort()
-      setImmediate(() => end())
+      if (finished.signal.aborted) return
+      finished.abort()
+      setImmediate(() => unsubscribe())
       response.setHeader(HEADER.storeEpoch, store.epoch())
       resolve({ events: changes.map(toEvent), asOf: store.revision() })
     }
-    const cut = (): void => {
-      owner.abort()
+    const disconnect = (): void => {
+      finished.abort()
       response.destroy()
     }
-    const end = store.subscribe(prefix, prefix + LAST, after + 1, (changes) => { if (changes.length > 0) answer(changes) }, cut)
-    clock.sleep(Number(query.get('waitMs')), owner.signal).then(() => answer([]), () => {})
+    const unsubscribe = store.subscribe(prefix, prefix + RANGE_END_SUFFIX, after + 1, (changes) => { if (changes.length > 0) answer(changes) }, disconnect)
+    clock.sleep(Number(query.get('waitMs')), finished.signal).then(() => answer([]), () => {})
   })
 }
 
-/** Conditions on and changes of a single key, which is all that the product uses. */
+/** Supports transactions on a single key only; the product uses no others. */
 function transact (store: KeyValueStore, { expectedRevision, writes, remove }: Transaction): object {
   const [condition] = expectedRevision
   const [write] = writes
@@ -111,14 +113,14 @@
   throw new StandInFailure(412, { items: [result.current === undefined ? { key, value: '', revision: 0 } : toItem(result.current)] })
 }
 
-function grant (store: KeyValueStore, { ttlMs }: { ttlMs: number }): object {
+function grantLease (store: KeyValueStore, { ttlMs }: { ttlMs: number }): object {
   return { lease: Number(store.grantLease(ttlMs)), ttlMs }
 }
 
-function keep (store: KeyValueStore, lease: string): object {
-  const left = store.keepAlive(lease)
-  if (left === 0) throw new StandInFailure(404, { error: 'no such lease' })
-  return { ttlMs: left }
+function renewLease (store: KeyValueStore, lease: string): object {
+  const remaining = store.keepAlive(lease)
+  if (remaining === 0) throw new StandInFailure(404, { error: 'no such lease' })
+  return { ttlMs: remaining }
 }
 
 function toItem (entry: KeyValueEntry): object {
--- a/stand-ins/machines/rehearsal.ts
+++ b/stand-ins/machines/rehearsal.ts
@@ -1,4 +1,7 @@
-/** A gateway process with stand-ins around it that answers some requests of each kind, so that its code is compiled. */
+/**
+ * Warm-up of a gateway process for its code cache: stand-ins serve the process and send it requests of
+ * each kind, so that V8 compiles the functions that requests use.
+ */
 import { mkdtempSync, writeFileSync } from 'node:fs'
 import { request as sendRequest } from 'node:http'
 import { createServer } from 'node:net'
@@ -13,11 +16,11 @@
 import { serveMetadataStore } from './metadata-store.js'
 import { serveUpstream } from './upstream.js'
 
-/** A gateway process about to be started. */
+/** Prepared warm-up of a gateway process that has not started yet. */
 export interface Rehearsal {
-  /** Settings file that the process is to be started with. */
+  /** Path of the settings file for the process. */
   readonly settingsFile: string
-  /** Waits for the process and sends the requests. @returns the number of answers with status 200 */
+  /** Waits until the process serves, then sends the requests. @returns the number of answers with status 200 */
   play (): Promise<number>
 }
 
@@ -25,21 +28,21 @@
 const LOOPBACK = '127.0.0.1'
 const KINDS = ['non_idempotent', 'idempotent', 'streaming'] as const
 
-/** Requests of each kind: functions that are called so often are compiled, and not yet optimised. */
-const REQUESTS = 40
+/** After this many calls V8 has compiled a function but has not optimised it yet. */
+const REQUESTS_PER_KIND = 40
 
-/** Pause between two looks whether the process serves. */
-const PERIOD: Milliseconds = 20
+/** Interval between checks whether the process serves. */
+const POLL_INTERVAL: Milliseconds = 20
 
 /**
- * Starts the stand-ins. Their servers end with the process.
+ * Starts the stand-ins and writes the settings file. The servers run until the process exits.
  *
  * @example
  * const rehearsal = await prepareRehearsal()
  */
 export async function prepareRehearsal (): Promise<Rehearsal> {
   const clock = createSystemClock()
-  const [front, ready, directory, peers, metrics] = await freePorts(5) as [number, number, number, number, number]
+  const [front, ready, directory, peers, metrics] = await findFreePorts(5) as [number, number, number, number, number]
   const store = await serveMetadataStore(clock, createRandom(1))
   const api = await serveDutyApi(clock, createRandom(2))
   store.store.put(STORE_KEY.configuration, JSON.stringify(configuration()))
@@ -61,13 +64,13 @@
   ].join('\n'))
 
   async function play (): Promise<number> {
-    const statusOf = (port: number, path: string): Promise<number> => ask(port, path, 'idempotent', 'probe').catch(() => 0)
-    while (await statusOf(ready, NODE_PATH.ready) !== 200 || await statusOf(front, '/idempotent/x') !== 200) await clock.sleep(PERIOD)
-    await ask(directory, `${NODE_PATH.directory}?name=${HOST}&region=region&zone=zone-a`, 'idempotent', 'directory')
+    const statusOf = (port: number, path: string): Promise<number> => send(port, path, 'idempotent', 'probe').catch(() => 0)
+    while (await statusOf(ready, NODE_PATH.ready) !== 200 || await statusOf(front, '/idempotent/x') !== 200) await clock.sleep(POLL_INTERVAL)
+    await send(directory, `${NODE_PATH.directory}?name=${HOST}&region=region&zone=zone-a`, 'idempotent', 'directory')
     let answered = 0
-    for (let index = 0; index < REQUESTS; index += 1) {
+    for (let index = 0; index < REQUESTS_PER_KIND; index += 1) {
       for (const kind of KINDS) {
-        if (await ask(front, `/${kind}/x`, kind, `${kind}-${index}`) === 200) answered += 1
+        if (await send(front, `/${kind}/x`, kind, `${kind}-${index}`) === 200) answered += 1
       }
     }
     return answered
@@ -85,23 +88,23 @@
   }
 }
 
-/** @returns the status, once the answer is read to its end */
-function ask (port: number, path: string, kind: typeof KINDS[number], id: string): Promise<number> {
+/** Sends a request and reads the response to its end. @returns the status code */
+function send (port: number, path: string, kind: typeof KINDS[number], id: string): Promise<number> {
   return new Promise((resolve, reject) => {
     const headers: Record<string, string> = { host: HOST, [HEADER.requestId]: id, [HEADER.deadline]: '3000', [HEADER.key]: 'key' }
     if (kind === 'streaming') Object.assign(headers, { [HEADER.tokenUsage]: '1460,80', [HEADER.promptParts]: `5c1e07a2:800,91bd3f06:410,${Buffer.from(id).toString('hex')}:250` })
-    const sent = sendRequest({ host: LOOPBACK, port, path, method: kind === 'idempotent' ? 'GET' : 'POST', headers }, (response) => {
+    const outgoing = sendRequest({ host: LOOPBACK, port, path, method: kind === 'idempotent' ? 'GET' : 'POST', headers }, (response) => {
       response.resume()
       response.on('end', () => resolve(response.statusCode ?? 0))
       response.on('error', reject)
     })
-    sent.on('error', reject)
-    sent.end(kind === 'idempotent' ? undefined : 'a body')
+    outgoing.on('error', reject)
+    outgoing.end(kind === 'idempotent' ? undefined : 'a body')
   })
 }
 
-/** Ports that were free a moment ago, one apart from the other. */
-async function freePorts (count: number): Promise<number[]> {
+/** Finds distinct free ports. Another process can take a port before it is used. */
+async function findFreePorts (count: number): Promise<number[]> {
   const servers = await Promise.all(Array.from({ length: count }, () => new Promise<ReturnType<typeof createServer>>((resolve) => {
     const server = createServer()
     server.listen(0, LOOPBACK, () => resolve(server))
--- a/stand-ins/machines/upstream.ts
+++ b/stand-ins/machines/upstream.ts
@@ -1,11 +1,11 @@
-/** An upstream of the users' machines: plain answers and streams of events, with faults. */
+/** Stand-in of an upstream on the users' platform. It sends plain answers and event streams, with faults. */
 import { createServer } from 'node:http'
 import type { IncomingMessage, Server, ServerResponse } from 'node:http'
 import type { AddressInfo } from 'node:net'
 import { ENGINE_PATH, HEADER } from '../../platform/names.js'
 import type { Clock, Milliseconds } from '../../src/clock.js'
 
-/** One run of a request. */
+/** A request that the upstream has run. */
 export interface Run {
   readonly id: string
   readonly method: string
@@ -17,11 +17,11 @@
 /**
  * What an upstream does with the next request.
  *
- * - `answer`: answers it, as a stream if it accepts one
+ * - `answer`: answers it, as a stream if the request declares its tokens
  * - `full`: refuses it without running it
  * - `error`: runs it and answers 500
  * - `lose`: runs it and closes the connection
- * - `hang`: runs it and says nothing
+ * - `hang`: runs it and never answers
  * - `break`: runs it and closes the connection in the middle of an event
  */
 export type Behaviour = 'answer' | 'full' | 'error' | 'lose' | 'hang' | 'break'
@@ -31,31 +31,33 @@
   readonly id: string
   readonly address: string
   readonly runs: readonly Run[]
-  /** Requests that it still works on. */
-  working (): number
-  /** Handles of runs that were moved away, by request. */
+  /** Number of requests in progress. */
+  activeRequests (): number
+  /** Handles of moved runs, by request id. */
   readonly moved: ReadonlyMap<string, string>
-  /** Headers that all its answers carry from now on, in place of those before. */
-  announce (headers: Readonly<Record<string, string>>): void
-  /** Decides on each request from now on. */
-  behave (decide: () => Behaviour): void
+  /** Sets extra headers for all later responses. Replaces the headers set before. */
+  setHeaders (headers: Readonly<Record<string, string>>): void
+  /** Sets the function that chooses the behaviour for each later request. */
+  setBehaviour (decide: () => Behaviour): void
   close (): Promise<void>
 }
 
-/** How an upstream answers. */
+/** Options of an upstream stand-in. */
 export interface UpstreamStandInOptions {
   readonly id: string
   readonly clock: Clock
-  /** Events of a stream. */
+  /** Number of events in a stream. */
   readonly events?: number
   /** Pause before each event. */
   readonly pause?: Milliseconds
 }
 
-/** Events that a broken stream has sent whole. */
+/** Complete events that an interrupted stream sends before its connection closes. */
 const EVENTS_BEFORE_BREAK = 2
 
 /**
+ * Starts an upstream on a free port.
+ *
  * @example
  * const upstream = await serveUpstream({ id: 'i-1', clock })
  */
@@ -63,9 +65,9 @@
   const runs: Run[] = []
   const streaming = new Map<string, ServerResponse>()
   const moved = new Map<string, string>()
-  let announced: Readonly<Record<string, string>> = {}
+  let extraHeaders: Readonly<Record<string, string>> = {}
   let decide = (): Behaviour => 'answer'
-  let working = 0
+  let activeRequests = 0
 
   async function handle (request: IncomingMessage, response: ServerResponse): Promise<void> {
     const chunks: Buffer[] = []
@@ -74,13 +76,13 @@
     const { headers } = request
     const requestId = String(headers[HEADER.requestId])
     response.setHeader(HEADER.requestId, requestId)
-    for (const [name, value] of Object.entries(announced)) response.setHeader(name, value)
+    for (const [name, value] of Object.entries(extraHeaders)) response.setHeader(name, value)
     if (headers[HEADER.expectUpstream] !== undefined && headers[HEADER.expectUpstream] !== id) return refuse(response, 421)
     const behaviour = decide()
     if (behaviour === 'full') return refuse(response, 503)
     runs.push({ id: requestId, method: request.method ?? '', path: request.url ?? '', headers, body: Buffer.concat(chunks).toString('utf8') })
-    working += 1
-    response.on('close', () => { working -= 1 })
+    activeRequests += 1
+    response.on('close', () => { activeRequests -= 1 })
     response.setHeader('x-hornbeamgap-server-stamp', id)
     switch (behaviour) {
       case 'hang': return
@@ -98,27 +100,27 @@
     }
   }
 
-  /** The run stops, its stream is closed without an end, and the copy has a handle. */
+  /** Stops the run, closes its stream without a final event and answers with the handle of the copied cache. */
   function move ({ id: requestId }: { id: string }, response: ServerResponse): void {
-    const stopped = streaming.get(requestId)
-    if (stopped === undefined) {
+    const movedResponse = streaming.get(requestId)
+    if (movedResponse === undefined) {
       response.statusCode = 404
       response.end()
       return
     }
     streaming.delete(requestId)
-    stopped.destroy()
+    movedResponse.destroy()
     moved.set(requestId, `h${moved.size + 1}`)
     response.end(JSON.stringify({ handle: moved.get(requestId), created: 1 }))
   }
 
-  async function stream (response: ServerResponse, requestId: string, after: number, breaks: boolean): Promise<void> {
+  async function stream (response: ServerResponse, requestId: string, after: number, interrupted: boolean): Promise<void> {
     response.setHeader('content-type', 'text/event-stream')
     streaming.set(requestId, response)
     for (let event = after + 1; event <= events; event += 1) {
       if (pause > 0) await clock.sleep(pause)
       if (response.destroyed) return
-      if (breaks && event - after > EVENTS_BEFORE_BREAK) {
+      if (interrupted && event - after > EVENTS_BEFORE_BREAK) {
         response.write(`id: ${event}\nda`, () => response.socket?.destroy())
         return
       }
@@ -137,9 +139,9 @@
     address: `127.0.0.1:${(server.address() as AddressInfo).port}`,
     runs,
     moved,
-    working: () => working,
-    announce: (headers) => { announced = headers },
-    behave: (next) => { decide = next },
+    activeRequests: () => activeRequests,
+    setHeaders: (headers) => { extraHeaders = headers },
+    setBehaviour: (next) => { decide = next },
     close: () => closeServer(server)
   }
 }
--- a/test/gateway/backpressure.test.ts
+++ b/test/gateway/backpressure.test.ts
@@ -87,7 +87,7 @@
 
   function watchArrivals (upstream: UpstreamStandIn): void {
     arrivals = []
-    upstream.behave(() => {
+    upstream.setBehaviour(() => {
       arrivals.push(clock.now())
       return 'answer'
     })
@@ -103,7 +103,7 @@
   // answers and keep sending: 19 requests arrived within 4 s where 11 are allowed, and no log line named the limit.
   it('receives requests from all nodes together up to its announced limit, but no more', async () => {
     const [limited] = upstreams
-    limited!.announce({ 'server-limit': '1' })
+    limited!.setHeaders({ 'server-limit': '1' })
     await clock.sleep(LIMIT_PROPAGATION_TIME)
     watchArrivals(limited!)
     await clock.sleep(2 * WINDOW)
@@ -113,7 +113,7 @@
 
   it('receives its full share again once its answers announce no limit', async () => {
     const [limited, other] = upstreams
-    limited!.announce({})
+    limited!.setHeaders({})
     await until(() => nodes.every((_node, index) => limitEventsOf(`node-${index}`).at(-1)?.rate === undefined))
     watchArrivals(limited!)
     const before = other!.runs.length
@@ -124,13 +124,13 @@
   // Guards against callers that wait in vain or retry too early: every upstream of the service takes two requests a
   // second, and more than a hundred are requested.
   it('causes requests beyond the limits of all upstreams to be refused at once with a retry time', async () => {
-    for (const upstream of upstreams) upstream.announce({ 'server-limit': '2' })
+    for (const upstream of upstreams) upstream.setHeaders({ 'server-limit': '2' })
     await until(() => nodes.every((_node, index) => new Set(limitEventsOf(`node-${index}`).filter(({ rate }) => rate === 2).map(({ upstream }) => upstream)).size === upstreams.length))
     const answers = (await Promise.all(Array.from({ length: 8 }, () => Promise.all(nodes.map(ask))))).flat()
     const refused = answers.filter(({ status }) => status === 503)
     assert.ok(refused.length >= answers.length / 2, `${refused.length} of ${answers.length} refused`)
     assert.ok(refused.every(({ retryAfter }) => retryAfter >= 0.3 && retryAfter <= 3), 'six nodes share the limits, which allows each one request in three seconds')
-    for (const upstream of upstreams) upstream.announce({})
+    for (const upstream of upstreams) upstream.setHeaders({})
     await until(async () => (await Promise.all(nodes.map(ask))).every(({ status }) => status === 200))
   })
 
@@ -139,13 +139,13 @@
   // more than 3 s after such an answer.
   it('receives no new requests once its answers announce its departure, even if its record does not', async () => {
     const [leaving, other] = upstreams
-    leaving!.announce({ 'server-leaving': '1' })
+    leaving!.setHeaders({ 'server-leaving': '1' })
     const runsBefore = leaving!.runs.length
     await until(() => leaving!.runs.length > runsBefore)
     await clock.sleep(DEPARTURE_PROPAGATION_TIME)
     watchArrivals(leaving!)
     // The heartbeats continue, and so do answers that had already begun.
-    leaving!.announce({})
+    leaving!.setHeaders({})
     deployment.register(leaving!, { sequence: 2 })
     const before = other!.runs.length
     await until(() => other!.runs.length >= before + 20 * NODE_COUNT)
@@ -180,8 +180,8 @@
   it('receives no requests during the pause that it asked for with a refusal', async () => {
     const [pausing] = upstreams
     let arrivals = 0
-    pausing!.announce({ 'retry-after': '30' })
-    pausing!.behave(() => {
+    pausing!.setHeaders({ 'retry-after': '30' })
+    pausing!.setBehaviour(() => {
       arrivals += 1
       return 'full'
     })
@@ -200,8 +200,8 @@
 
   it('determines the retry time of the caller if no other upstream is available', async () => {
     const [, other] = upstreams
-    other!.announce({ 'retry-after': '10' })
-    other!.behave(() => 'full')
+    other!.setHeaders({ 'retry-after': '10' })
+    other!.setBehaviour(() => 'full')
     await ask(node)
     const { status, retryAfter } = await ask(node)
     assert.equal(status, 503)
--- a/test/gateway/node.test.ts
+++ b/test/gateway/node.test.ts
@@ -93,7 +93,7 @@
 
   /** Sets the behaviour of these upstreams for the next requests, in order. The last entry applies to all further requests. */
   function behave (upstreams: readonly UpstreamStandIn[], ...behaviours: Behaviour[]): void {
-    for (const upstream of upstreams) upstream.behave(() => behaviours.length > 1 ? behaviours.shift()! : behaviours[0]!)
+    for (const upstream of upstreams) upstream.setBehaviour(() => behaviours.length > 1 ? behaviours.shift()! : behaviours[0]!)
   }
 
   async function until (condition: () => Promise<boolean> | boolean): Promise<void> {
@@ -236,7 +236,7 @@
     behave(plain, 'hang')
     assert.equal((await ask('short', { id: 'late' })).status, 504)
     assert.equal(runsOf('late'), 1)
-    await until(() => plain.every((upstream) => upstream.working() === 0))
+    await until(() => plain.every((upstream) => upstream.activeRequests() === 0))
   })
 
   it('ends the run when its caller disconnects', async () => {
@@ -246,7 +246,7 @@
     await until(() => runsOf('gone') === 1)
     leaving.abort()
     await assert.rejects(asked)
-    await until(() => plain.every((upstream) => upstream.working() === 0))
+    await until(() => plain.every((upstream) => upstream.activeRequests() === 0))
   })
 
   it('dispatches nothing to a leaving upstream', async () => {
--- a/test/gateway/rollout.test.ts
+++ b/test/gateway/rollout.test.ts
@@ -83,7 +83,7 @@
 
   const runsOf = (upstreams: readonly UpstreamStandIn[]): number => upstreams.reduce((sum, { runs }) => sum + runs.length, 0)
 
-  const runningAt = (upstreams: readonly UpstreamStandIn[]): number => upstreams.reduce((sum, upstream) => sum + upstream.working(), 0)
+  const runningAt = (upstreams: readonly UpstreamStandIn[]): number => upstreams.reduce((sum, upstream) => sum + upstream.activeRequests(), 0)
 
   const countLogged = (event: string): number => deployment.lines.filter((line) => line.event === event).length
 
@@ -106,7 +106,7 @@
   // Failure guarded against: one in ten requests fails for the whole trial. Failures of the new version that follow each
   // other closely are counted as a single crash of one upstream, so that the version is not found bad.
   it('of a failing version is rolled back, and the version gets no more requests', async () => {
-    for (const upstream of newUpstreams) upstream.behave(() => 'error')
+    for (const upstream of newUpstreams) upstream.setBehaviour(() => 'error')
     order('v2')
     for (const upstream of newUpstreams) deployment.register(upstream, { version: 'v2' })
     await until(() => status().state === 'rolled_back')
--- a/test/stand-ins/control.test.ts
+++ b/test/stand-ins/control.test.ts
@@ -1,4 +1,4 @@
-/** What a person can do to a running stand-in platform by hand. */
+/** Tests the HTTP API that controls a running stand-in platform by hand. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { createSystemClock } from '../../src/clock.js'
@@ -8,7 +8,7 @@
 import { loadSample } from '../../stand-ins/sample.js'
 import { onFreePorts } from '../../stand-ins/sample-deployment.js'
 
-test('a reclaim marks instances as leaving, then ends them; faults are switched by name', async () => {
+test('a reclaim marks instances as leaving before it ends them, and faults are set by name', async () => {
   const clock = createSystemClock()
   const sample = onFreePorts(loadSample('samples/tsubame-kyushu').platform)
   const platform = await startPlatform({ clock, random: createRandom(1), sample })
--- a/test/stand-ins/sample.test.ts
+++ b/test/stand-ins/sample.test.ts
@@ -1,4 +1,4 @@
-/** The samples are whole: a newcomer's first configuration must not fail on its own files. */
+/** Tests that the files of each sample are complete and consistent, since new users start from them. */
 import assert from 'node:assert/strict'
 import { test } from 'node:test'
 import { configurationSchema } from '../../src/configuration/index.js'
@@ -12,7 +12,7 @@
 ]
 
 for (const { folder, servers } of SIZES) {
-  test(`${folder} has the deployment's size, and its files fit together`, () => {
+  test(`${folder} has the deployment's size and consistent files`, () => {
     const sample = loadSample(folder)
     const configuration = parseSettings(configurationSchema, sample.configuration, folder)
     assert.deepEqual(sample.platform.upstreams.map((group) => group.count), servers)
