--- a/src/entry/node-records.ts
+++ b/src/entry/node-records.ts
@@ -11,7 +11,7 @@
  * @returns one record, or none if the value is invalid
  *
  * @example
- * const records = listing.entries.flatMap(toStamped)
+ * const records = listing.entries.flatMap(toRevisionedRecords)
  */
 export function toRevisionedRecords (entry: KeyValueEntry): RevisionedRecord[] {
   const record = readJson(nodeRecordSchema, entry.value)
--- a/src/operator/command/output.ts
+++ b/src/operator/command/output.ts
@@ -75,7 +75,7 @@
  * Creates an error for invalid options or arguments of a command.
  *
  * @example
- * throw invalidUse('--from and --since exclude each other')
+ * throw usageError('--from and --since exclude each other')
  */
 export function usageError (message: string): ServingError {
   return new ServingError(message, { code: 'invalid-request', verdict: 'not-run' })
--- a/src/operator/command/report.ts
+++ b/src/operator/command/report.ts
@@ -57,7 +57,7 @@
  * @param now wall time
  * @throws ServingError `invalid-request` for an invalid time or duration, or if both `from` and `since` are set
  * @example
- * rangeOf({ since: '2h' }, now)
+ * resolveRange({ since: '2h' }, now)
  */
 export function resolveRange (options: ReportCommandOptions, now: Milliseconds): { from: Milliseconds, to: Milliseconds } {
   const to = options.to === undefined ? now : parseTime('--to', options.to)
--- a/src/operator/known-nodes.ts
+++ b/src/operator/known-nodes.ts
@@ -13,7 +13,7 @@
  * Returns the records of all members and of all nodes that are registered in the key-value service.
  *
  * @example
- * const nodes = await knownNodes(context)
+ * const nodes = await listKnownNodes(context)
  */
 export async function listKnownNodes ({ membership, keyValue, signal }: Pick<OperatorContext, 'membership' | 'keyValue' | 'signal'>): Promise<NodeRecord[]> {
   const nodes = new Map(membership.nodes().map((record) => [record.incarnation, record]))
--- a/src/report/total.ts
+++ b/src/report/total.ts
@@ -110,7 +110,7 @@
  * are counted as abandoned.
  *
  * @example
- * addWritten(tally, cellsOf(snapshot))
+ * addEncodedCells(tally, cellsOf(snapshot))
  */
 export function cellsOf (snapshot: Snapshot): EncodedCell[] {
   if (!endsIncarnation(snapshot.state)) return snapshot.cells
--- a/stand-ins/key-value-direct.ts
+++ b/stand-ins/key-value-direct.ts
@@ -18,7 +18,7 @@
 
 /** Faults that only the in-process client has. */
 export interface DirectFaults {
-  /** Delay after which a late write takes effect. Its caller gets a time-out at once. No write is late when 0. */
+  /** Delay after which a late write takes effect. Its caller gets a timeout at once. No write is late when 0. */
   lateBy: Milliseconds
   /** Every n-th write is late. */
   lateEvery: number
@@ -33,7 +33,7 @@
 /** Interval of the empty updates that a watch yields while nothing changes. */
 const PROGRESS_PERIOD: Milliseconds = 5 * SECOND
 
-/** Time-out of a call, the same as that of the HTTP client. */
+/** Timeout of a call, the same as that of the HTTP client. */
 const CALL_TIMEOUT: Milliseconds = 2 * SECOND
 
 /**
@@ -57,7 +57,7 @@
         throw failure('the reply of the key-value service was lost')
       case 'silence':
         await clock.sleep(CALL_TIMEOUT, signal)
-        throw failure('the key-value service did not answer within the time-out')
+        throw failure('the key-value service did not answer within the timeout')
       case 'refuse': throw failure('the key-value service is down')
       case 'over-rate': throw failure('the rate limit of the key-value service is exceeded')
     }
@@ -72,7 +72,7 @@
     calls.writes += 1
     if (direct.lateBy === 0 || calls.writes % direct.lateEvery !== 0) return call(operation, signal)
     clock.sleep(direct.lateBy).then(operation).catch(() => {})
-    return Promise.reject(failure('the key-value service did not answer within the time-out'))
+    return Promise.reject(failure('the key-value service did not answer within the timeout'))
   }
 
   async function * watch (prefix: string, fromRevision: number, signal: AbortSignal): AsyncIterable<WithEpoch<readonly KeyValueChange[]>> {
