--- a/features/steps/reports.steps.ts
+++ b/features/steps/reports.steps.ts
@@ -8,15 +8,15 @@
 import { ServingError } from '../../src/verdict.js'
 import { createKeyValueStore } from '../../stand-ins/key-value-store.js'
 import type { KeyValueStore } from '../../stand-ins/key-value-store.js'
-import { assertSumsAgree, createCountingNode, createFolder, createStillClock, reportOf, SERVED } from '../../test/report/fleet.js'
-import type { CountingNode, StillClock } from '../../test/report/fleet.js'
+import { assertSumsAgree, createCountingNode, createReportFolder, createFrozenClock, reportOf, SERVED } from '../../test/report/fleet.js'
+import type { CountingNode, FrozenClock } from '../../test/report/fleet.js'
 import type { DeploymentWorld } from './world.js'
 
 /** Longer than the announced pauses of a silent node. */
 const LONG_SILENCE = 20 * MINUTE
 
 interface ReportWorld extends DeploymentWorld {
-  clock: StillClock
+  clock: FrozenClock
   store: KeyValueStore
   nodes: CountingNode[]
   requests: number
@@ -64,12 +64,12 @@
 async function foldTwice (world: ReportWorld, fold: () => Promise<unknown>): Promise<void> {
   await fold()
   await world.clock.advance(LONG_SILENCE)
-  for (const node of world.nodes.filter((one) => one.live)) await node.keeper.write()
+  for (const node of world.nodes.filter((one) => one.live)) await node.reporter.write()
   await fold()
 }
 
 Given('{int} nodes that count and report', function (this: ReportWorld, count: number) {
-  this.clock = createStillClock()
+  this.clock = createFrozenClock()
   this.store = createKeyValueStore(this.clock)
   this.requests = 0
   this.down = false
@@ -80,7 +80,7 @@
 Given('each node has answered {int} requests and reported', async function (this: ReportWorld, requests: number) {
   for (const node of this.nodes) {
     answer(this, node, requests)
-    await node.keeper.write()
+    await node.reporter.write()
   }
 })
 
@@ -92,38 +92,38 @@
 })
 
 When('a planner folds the reports of nodes that are gone', async function (this: ReportWorld) {
-  await foldTwice(this, createFolder(connect(this), this.clock))
+  await foldTwice(this, createReportFolder(connect(this), this.clock))
 })
 
 When('two planners fold at once, call by call in turn', async function (this: ReportWorld) {
   const yieldTurn = (): Promise<void> => new Promise((resolve) => setImmediate(resolve))
-  const folders = [1, 2].map(() => createFolder(connect(this, { turn: yieldTurn }), this.clock))
+  const folders = [1, 2].map(() => createReportFolder(connect(this, { turn: yieldTurn }), this.clock))
   await foldTwice(this, () => Promise.all(folders.map((fold) => fold())))
 })
 
 When('a planner folds and no reply to its writes arrives', async function (this: ReportWorld) {
-  const fold = createFolder(connect(this, { losesReplies: true }), this.clock)
+  const fold = createReportFolder(connect(this, { losesReplies: true }), this.clock)
   await foldTwice(this, () => fold().catch(() => {}))
   for (let pass = 0; pass < 5; pass += 1) await fold().catch(() => {})
 })
 
 When('another planner takes over', async function (this: ReportWorld) {
-  await foldTwice(this, createFolder(connect(this), this.clock))
+  await foldTwice(this, createReportFolder(connect(this), this.clock))
 })
 
 When('node {int} comes back, having answered {int} more requests', async function (this: ReportWorld, number: number, requests: number) {
   const node = this.nodes[number - 1]!
   node.live = true
   answer(this, node, requests)
-  await node.keeper.write()
-  await node.keeper.write()
+  await node.reporter.write()
+  await node.reporter.write()
 })
 
 When('the key-value service is down for {int} minutes while each node answers {int} more', async function (this: ReportWorld, minutes: number, requests: number) {
   this.down = true
   for (let minute = 0; minute < minutes; minute += 1) {
     await this.clock.advance(MINUTE)
-    for (const node of this.nodes) await node.keeper.write().catch(() => {})
+    for (const node of this.nodes) await node.reporter.write().catch(() => {})
   }
   for (const node of this.nodes) answer(this, node, requests)
   for (const { key, revision } of this.store.list('hornbeamgap/nodes/', 'hornbeamgap/nodes0').entries) this.store.compareAndDelete(key, revision)
--- a/src/bin/hornbeamgap-gateway.ts
+++ b/src/bin/hornbeamgap-gateway.ts
@@ -1,7 +1,7 @@
 #!/usr/bin/env node
 /** `hornbeamgap-gateway`: a gateway node on the users' machines. */
 import { createPlatform, gatewaySettingsSchema, SETTINGS_VARIABLE } from '../../platform/index.js'
-import { createBoundedLines } from '../bounded-lines.js'
+import { createBoundedLineSink } from '../bounded-lines.js'
 import { createSystemClock } from '../clock.js'
 import { startGatewayNode } from '../gateway/node.js'
 import { watchSettings } from '../gateway/settings-reload.js'
@@ -27,7 +27,7 @@
   start: async (initial, _options, path) => {
     const clock = createSystemClock()
     const ending = new AbortController()
-    const lines = createBoundedLines(process.stdout, clock, (leftOut) => JSON.stringify({ time: new Date(clock.wall()).toISOString(), level: 'warn', process: initial.name, event: 'lines-left-out', ...leftOut }))
+    const lines = createBoundedLineSink(process.stdout, clock, (leftOut) => JSON.stringify({ time: new Date(clock.wall()).toISOString(), level: 'warn', process: initial.name, event: 'lines-left-out', ...leftOut }))
     const log = createLog(initial.name, 'info', clock.wall, lines)
     const settings = watchSettings({ initial, read: () => loadSettings(gatewaySettingsSchema, path), clock, log, signal: ending.signal })
     process.on('SIGHUP', () => settings.reload('signal'))
--- a/src/bound-signal.ts
+++ b/src/bound-signal.ts
@@ -1,19 +1,22 @@
-/** Signals that abort after a time. */
+/** Abort signals with a timeout. */
 import type { Milliseconds } from './clock.js'
 
 /**
- * A signal that aborts after `bound`, or with its parent.
+ * Creates a signal that aborts after `timeout`, or together with its parent signal.
  *
- * Failure guarded against: `AbortSignal.any` holds its sources weakly, and a signal of
- * `AbortSignal.timeout` that nothing else holds is collected together with its timer (Node.js 20). The
- * joint signal then never aborts: a call to a silent peer, or the last report of a stopping node, waits for
- * ever. Here the timer holds the controller.
+ * Failure guarded against: `AbortSignal.any` holds its source signals weakly. In Node.js 20, an
+ * `AbortSignal.timeout` signal without other references is garbage-collected together with its timer. The combined
+ * signal then never aborts, and a call to an unresponsive peer or the final report of a stopping node waits
+ * indefinitely. Here the pending timer references the controller, so the controller cannot be collected before the
+ * timeout.
  *
- * @param bound milliseconds; the timer doesn't keep the process running
+ * @param timeout milliseconds. The timer does not keep the process running.
+ * @param parent signal whose abort and reason are passed on
+ * @returns a signal that aborts with a `TimeoutError`, or with the reason of the parent
  * @example
- * await store.get(key, boundSignal(2 * SECOND, signal))
+ * await store.get(key, createTimeoutSignal(2 * SECOND, signal))
  */
-export function boundSignal (bound: Milliseconds, parent?: AbortSignal): AbortSignal {
+export function createTimeoutSignal (timeout: Milliseconds, parent?: AbortSignal): AbortSignal {
   const controller = new AbortController()
   if (parent?.aborted) {
     controller.abort(parent.reason)
@@ -21,8 +24,8 @@
   }
   const timer = setTimeout(() => {
     parent?.removeEventListener('abort', abortWithParent)
-    controller.abort(new DOMException(`no answer within ${bound} ms`, 'TimeoutError'))
-  }, bound)
+    controller.abort(new DOMException(`no answer within ${timeout} ms`, 'TimeoutError'))
+  }, timeout)
   timer.unref()
   parent?.addEventListener('abort', abortWithParent, { once: true })
   return controller.signal
--- a/src/caller/http.ts
+++ b/src/caller/http.ts
@@ -1,7 +1,7 @@
 /** HTTP towards callers and operators: bodies within limits, answers, and failures with their verdict. */
 import type { IncomingMessage, ServerResponse } from 'node:http'
 import type { Milliseconds } from '../clock.js'
-import { ServingError, statusOf, toServingError } from '../verdict.js'
+import { ServingError, httpStatusOf, toServingError } from '../verdict.js'
 
 /** Header that carries a request id, both ways. */
 export const REQUEST_ID_HEADER = 'hornbeamgap-request-id'
@@ -58,7 +58,7 @@
   if (failure.retryAfter !== undefined) response.setHeader('retry-after', retryAfterSeconds(failure.retryAfter))
   // An unread rest of the request would be taken for the next one.
   if (failure.code === 'too-large') response.setHeader('connection', 'close')
-  sendJson(response, statusOf(failure.code), failureBody(failure))
+  sendJson(response, httpStatusOf(failure.code), failureBody(failure))
 }
 
 /**
--- a/src/client/decision.ts
+++ b/src/client/decision.ts
@@ -1,7 +1,7 @@
 /** What a caller does after a send has failed. Pure: the verdict decides, never the hope for the best. */
 import type { Milliseconds } from '../clock.js'
 import type { Random } from '../random.js'
-import { mayRepeat } from '../verdict.js'
+import { isRetrySafe } from '../verdict.js'
 import type { FailureCode, ServingError } from '../verdict.js'
 
 /** A send that failed. */
@@ -70,7 +70,7 @@
   if (failure.verdict === 'not-run' && OTHER_NODE.has(failure.code)) return { kind: 'new-id', delay: pause(1, random), avoidNode: true }
   if (failure.verdict === 'not-run' && LATER.has(failure.code)) return { kind: 'new-id', delay: jittered(failure.retryAfter ?? LONGEST_PAUSE, random), avoidNode: false }
   // The id's home is gone. Only what may run twice is sent anew.
-  if (failure.code === 'outcome-unknown' && mayRepeat(failure.verdict, failed.idempotent)) return { kind: 'new-id', delay: pause(1, random), avoidNode: false }
+  if (failure.code === 'outcome-unknown' && isRetrySafe(failure.verdict, failed.idempotent)) return { kind: 'new-id', delay: pause(1, random), avoidNode: false }
   return { kind: 'fail' }
 }
 
--- a/src/clock.ts
+++ b/src/clock.ts
@@ -1,20 +1,20 @@
 /**
- * Time for the whole system: one monotonic clock in milliseconds.
+ * Clocks, timers and units of time. All times are in milliseconds.
  *
- * Decisions receive `now` as a number and never read a clock. Only the processes around them hold a
- * {@link Clock}; tests and experiments pass a manual one.
+ * Functions that make decisions receive the current time as a number and never read a clock, so that they are
+ * deterministic. Only the long-running parts of a process hold a {@link Clock}. Tests pass a manually advanced one.
  */
 
-/** A duration or a point in time, in milliseconds. Points are monotonic unless named `wall`. */
+/** A duration or a point in time, in milliseconds. Points in time are monotonic unless named `wall`. */
 export type Milliseconds = number
 
-/** Source of time and of timers. */
+/** Source of the current time and of timers. */
 export interface Clock {
-  /** Monotonic time; its origin is arbitrary and differs between processes. */
+  /** Monotonic time. Its origin is arbitrary and differs between processes. */
   now (): Milliseconds
-  /** Wall time since the Unix epoch, for reports and logs only; it may jump. */
+  /** Wall time since the Unix epoch, for reports and logs only, as it may jump. */
   wall (): Milliseconds
-  /** Resolves after `delay`; rejects with the signal's reason when it aborts first. */
+  /** Resolves after `delay`. Rejects with the reason of the signal if the signal aborts first. */
   sleep (delay: Milliseconds, signal?: AbortSignal): Promise<void>
 }
 
@@ -28,7 +28,7 @@
 export const HOUR: Milliseconds = 60 * MINUTE
 
 /**
- * Clock of the running process.
+ * Creates the clock of the running process.
  *
  * @returns a clock backed by `performance.now` and `setTimeout`
  * @example
@@ -44,11 +44,11 @@
 }
 
 /**
- * Runs `task` every `period` until the signal aborts. One run ends before the next begins, so a slow
- * task never overlaps itself.
+ * Runs `task` repeatedly until the signal aborts. Each run ends before the next one starts, so a slow task never
+ * overlaps itself. The first run starts immediately.
  *
- * @param period pause between two runs, in milliseconds
- * @param onError receives what a run throws; the loop goes on
+ * @param period pause between the end of a run and the start of the next, in milliseconds
+ * @param onError called with the error of a failed run. The loop continues.
  * @example
  * every(clock, 2 * SECOND, signal, refreshInstances, (error) => log.warn(error))
  */
--- a/src/credentials.ts
+++ b/src/credentials.ts
@@ -1,10 +1,12 @@
-/** Keys: only hashes are kept, and they are compared in constant time. */
+/** Bearer keys. Only their hashes are stored, and hashes are compared in constant time. */
 import { createHash, timingSafeEqual } from 'node:crypto'
 
-const BEARER = /^Bearer ([\x21-\x7e]{1,512})$/i
+const BEARER_HEADER = /^Bearer ([\x21-\x7e]{1,512})$/i
 
 /**
- * Hex SHA-256 of a text.
+ * Computes the SHA-256 hash of a text.
+ *
+ * @returns the hash in hexadecimal
  *
  * @example
  * sha256('secret').length // 64
@@ -14,7 +16,7 @@
 }
 
 /**
- * Compares two hex hashes without telling by its duration where they differ.
+ * Compares two hexadecimal hashes in constant time, so that the duration does not reveal where they differ.
  *
  * @example
  * equalHashes(sha256('a'), sha256('b')) // false
@@ -26,12 +28,12 @@
 }
 
 /**
- * Key in an `Authorization: Bearer` header (RFC 6750).
+ * Extracts the key from an `Authorization: Bearer` header (RFC 6750).
  *
- * @returns undefined when the header is missing or malformed
+ * @returns the key, or undefined if the header is missing or malformed
  * @example
  * bearerKey('Bearer abc') // 'abc'
  */
 export function bearerKey (header: string | undefined): string | undefined {
-  return BEARER.exec(header ?? '')?.[1]
+  return BEARER_HEADER.exec(header ?? '')?.[1]
 }
--- a/src/entry/agreement-peers.ts
+++ b/src/entry/agreement-peers.ts
@@ -1,5 +1,5 @@
 /** The agreement's calls to peers, each with a bound. */
-import { boundSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../bound-signal.js'
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { Address } from '../identifiers.js'
@@ -59,5 +59,5 @@
 }
 
 function within (timeout: Milliseconds, signal: AbortSignal): { signal: AbortSignal } {
-  return { signal: boundSignal(Math.ceil(timeout), signal) }
+  return { signal: createTimeoutSignal(Math.ceil(timeout), signal) }
 }
--- a/src/entry/attempts.ts
+++ b/src/entry/attempts.ts
@@ -6,7 +6,7 @@
 import type { UpstreamName } from '../identifiers.js'
 import type { AnswerEnd, RetryDecision } from '../request/index.js'
 import type { UpstreamView } from '../upstream/index.js'
-import { mayRepeat, ServingError, toServingError } from '../verdict.js'
+import { isRetrySafe, ServingError, toServingError } from '../verdict.js'
 import type { Verdict } from '../verdict.js'
 import { attemptAt, attemptOnce } from './attempt.js'
 import type { AttemptEnd } from './attempt-end.js'
@@ -72,7 +72,7 @@
     : await attemptAt(context, execution, { upstream, priority: 0, handle: execution.position.handle }, service, traceparent)
   if (end.kind === 'failed') {
     context.bookkeeping.attemptFailed(execution, execution.position.upstream, end.failure)
-    if (execution.attachOnly || !mayRepeat(end.failure.verdict, execution.request.idempotent)) throw end.failure
+    if (execution.attachOnly || !isRetrySafe(end.failure.verdict, execution.request.idempotent)) throw end.failure
   }
   return end
 }
--- a/src/entry/hand-over.ts
+++ b/src/entry/hand-over.ts
@@ -1,5 +1,5 @@
 /** Gives the requests of a leaving node to its successors, and takes those of others. */
-import { boundSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../bound-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { Incarnation, RequestId } from '../identifiers.js'
@@ -197,7 +197,7 @@
   for (let attempt = 1; attempt <= MOST_SENDS && !options.signal.aborted; attempt += 1) {
     const peers = attempt === 1 ? options.peers : options.freshPeers
     try {
-      const signal = boundSignal(PEER_TIMEOUT, options.signal)
+      const signal = createTimeoutSignal(PEER_TIMEOUT, options.signal)
       const { taken } = await peers.at(successor.peerAddress).request.handOver.mutate(message, { signal })
       if (taken) return 'taken'
       return doubtful ? 'doubtful' : 'refused'
--- a/src/entry/node.ts
+++ b/src/entry/node.ts
@@ -174,7 +174,7 @@
     signal
   })
 
-  notes.start({ buddy: membership.buddy, peers, home, executions, onGone: (listener) => membership.events.on('gone', ({ incarnation: gone }) => listener(gone)), onAccount: ledger.died, log, signal })
+  notes.start({ buddy: membership.buddy, peers, home, executions, onGone: (listener) => membership.events.on('gone', ({ incarnation: gone }) => listener(gone)), onAccount: ledger.nodeDied, log, signal })
   membership.events.on('gone', ({ incarnation: gone }) => permits.holderGone(gone))
   const reclaims: Reclaims = startReclaims({
     cloud: settings.platform.cloud,
--- a/src/entry/note-keeper.ts
+++ b/src/entry/note-keeper.ts
@@ -2,7 +2,7 @@
  * Notes about open requests: this node's to its buddy, and those of the nodes whose buddy it is. When a
  * node dies unannounced, its buddy goes on with the streams that exist and tells what became of the rest.
  */
-import { boundSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../bound-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import { every, SECOND } from '../clock.js'
 import type { Incarnation } from '../identifiers.js'
@@ -63,7 +63,7 @@
     const batch = buddy && writer.next(buddy.incarnation, MOST_NOTES)
     if (options === undefined || buddy === undefined || batch === undefined) return
     try {
-      const signal = boundSignal(PEER_TIMEOUT, options.signal)
+      const signal = createTimeoutSignal(PEER_TIMEOUT, options.signal)
       const { complete } = await options.peers.at(buddy.peerAddress).notes.receive.mutate(batch, { signal })
       if (!complete) writer.failed()
     } catch {
--- a/src/entry/notice-keeper.ts
+++ b/src/entry/notice-keeper.ts
@@ -2,7 +2,7 @@
  * Hears that instances leave, from every source, and passes it on: a few nodes of each failure domain
  * ask the cloud; everybody else is told by peers, by engines and, last, by the instance list.
  */
-import { boundSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../bound-signal.js'
 import Emittery from 'emittery'
 import type { Clock, Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
@@ -213,7 +213,7 @@
 }
 
 async function send (options: NoticeOptions, peers: Peers, node: NodeRecord, message: NoticesMessage): Promise<void> {
-  const signal = boundSignal(PEER_TIMEOUT / 2, options.signal)
+  const signal = createTimeoutSignal(PEER_TIMEOUT / 2, options.signal)
   await peers.at(node.peerAddress).reclaim.notices.mutate(message, { signal })
 }
 
--- a/src/entry/reclaim-coordinator.ts
+++ b/src/entry/reclaim-coordinator.ts
@@ -2,7 +2,7 @@
  * Plans for a leaving upstream on behalf of all nodes that have streams there: its exports share one
  * link, so one node orders them. Which one follows from the membership view; what it knows is soft.
  */
-import { boundSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../bound-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import { every, SECOND } from '../clock.js'
 import type { Configuration } from '../configuration/index.js'
@@ -181,7 +181,7 @@
 
   async function askLoad (view: UpstreamView): Promise<ReclaimTarget | undefined> {
     try {
-      const bound = boundSignal(LOAD_TIMEOUT, signal)
+      const bound = createTimeoutSignal(LOAD_TIMEOUT, signal)
       return toTarget(view, await createEngine(options.connections, view.address).load(bound))
     } catch {
       return undefined
--- a/src/entry/reclaim-keeper.ts
+++ b/src/entry/reclaim-keeper.ts
@@ -2,7 +2,7 @@
  * Carries out the plan for the streams that this node has open at a leaving upstream: exports one
  * after the other, recomputation elsewhere, and a last look before the deadline.
  */
-import { boundSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../bound-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { Configuration } from '../configuration/index.js'
@@ -134,7 +134,7 @@
   for (const node of ranked) {
     if (node.incarnation === own.incarnation) break
     try {
-      const signal = boundSignal(PLAN_TIMEOUT, options.signal)
+      const signal = createTimeoutSignal(PLAN_TIMEOUT, options.signal)
       const { plans } = await options.peers.at(node.peerAddress).reclaim.plan.mutate(request, { signal })
       return { plans, coordinator: coordinatorAt(options, node) }
     } catch (error) {
@@ -150,7 +150,7 @@
   return {
     turn: async (request) => {
       try {
-        const signal = boundSignal(Math.ceil(request.remainingMs) + 1, options.signal)
+        const signal = createTimeoutSignal(Math.ceil(request.remainingMs) + 1, options.signal)
         return await peer.turn.mutate(request, { signal })
       } catch {
         return options.coordinator.turn(request)
@@ -173,7 +173,7 @@
   const { go } = await coordinator.turn({ upstream, id: plan.id, tokens, rank: plan.startAfter, required: !stream.idempotent, remainingMs })
   if (reclaim.signal.aborted) return coordinator.turnEnded({ upstream, id: plan.id, moved: false })
   if (!go) return plan.otherwise === 'finish' ? undefined : giveUp(options, reclaim, stream)
-  const bound = boundSignal(Math.max(1, Math.ceil(reclaim.deadline - clock.now())), reclaim.signal)
+  const bound = createTimeoutSignal(Math.max(1, Math.ceil(reclaim.deadline - clock.now())), reclaim.signal)
   let moved = false
   try {
     moved = await streams.moveTo(plan.id, plan.target, bound)
--- a/src/entry/relay.ts
+++ b/src/entry/relay.ts
@@ -1,5 +1,5 @@
 /** Reads answers from the nodes that hold them, for callers that are connected here. */
-import { boundSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../bound-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import type { Address, ClassName, Incarnation, OrganisationName, RequestId } from '../identifiers.js'
@@ -113,7 +113,7 @@
     const lookup = lookupOf(wanted)
     const candidates = rankNodes(gone, membership().nodes()).filter((node) => node.incarnation !== options.own).slice(0, MOST_HEIRS)
     const answers = await Promise.allSettled(candidates.map(async (node) => {
-      const { holds } = await peers.at(node.peerAddress).request.locate.mutate(lookup, { signal: boundSignal(PEER_TIMEOUT, signal) })
+      const { holds } = await peers.at(node.peerAddress).request.locate.mutate(lookup, { signal: createTimeoutSignal(PEER_TIMEOUT, signal) })
       return holds ? node.peerAddress : undefined
     }))
     return answers.flatMap((answer) => answer.status === 'fulfilled' && answer.value !== undefined ? [answer.value] : [])[0]
--- a/src/entry/report-keeper.ts
+++ b/src/entry/report-keeper.ts
@@ -160,7 +160,7 @@
     pending = undefined
     log.warn('report-returned', { how, epoch: closed.epoch, sequence: foldedSequence, known: folded !== undefined })
     if (folded === undefined || isClosed(folded.snapshot.state)) return
-    ledger.carry(closed, folded.counts)
+    ledger.carryOver(closed, folded.counts)
     returned = { epoch: closed.epoch, period: periodOf(folded.snapshot.writtenAt) }
   }
 
--- a/src/entry/stopping.ts
+++ b/src/entry/stopping.ts
@@ -1,5 +1,5 @@
 /** The end of a node that is not a sudden one: planned, or announced by the platform with a deadline. */
-import { boundSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../bound-signal.js'
 import type { Server } from 'node:http'
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
@@ -69,7 +69,7 @@
     await handOverAll({ ...options, deadline: () => deadline })
     await Promise.all([permits.giveAway(), notes.flush()])
     await flush(options, deadline ?? Infinity)
-    await reports.finish(boundSignal(timeLeft(deadline, clock.now()), signal)).catch(() => false)
+    await reports.finish(createTimeoutSignal(timeLeft(deadline, clock.now()), signal)).catch(() => false)
     await membership.withdraw().catch(() => {})
   }
 
--- a/src/gateway/answering.ts
+++ b/src/gateway/answering.ts
@@ -1,7 +1,7 @@
 /** Failure answers to callers. */
 import type { ServerResponse } from 'node:http'
 import type { Milliseconds } from '../clock.js'
-import { ServingError, statusOf } from '../verdict.js'
+import { ServingError, httpStatusOf } from '../verdict.js'
 import type { FailureCode } from '../verdict.js'
 import type { RequestFormat } from './ports.js'
 
@@ -40,9 +40,9 @@
  * instead.
  */
 function statusFor (failure: ServingError): number {
-  const status = statusOf(failure.code)
+  const status = httpStatusOf(failure.code)
   if (failure.verdict === 'not-run') return failure.code === 'timeout' ? NEVER_DISPATCHED_STATUS : status
-  return status === 503 || status === 429 || status === 421 || status === 408 ? statusOf('upstream-failed') : status
+  return status === 503 || status === 429 || status === 421 || status === 408 ? httpStatusOf('upstream-failed') : status
 }
 
 /** Formats a `Retry-After` value. Fractions of a second are allowed here. */
--- a/src/gateway/gossip-exchange.ts
+++ b/src/gateway/gossip-exchange.ts
@@ -1,5 +1,5 @@
 /** Push-pull gossip of node states between aggregators, and answers to the reports of members. */
-import { boundSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../bound-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import { createGossipTable, gossipMessageSchema, mergeReports } from '../gossip/index.js'
 import type { AggregatorAnswer, FleetReport, GossipMessage, GossipTable, MemberMessage, StoreUpdate, NodeState, SharedWallClock } from '../gossip/index.js'
@@ -112,7 +112,7 @@
   }
 
   async function exchangeWith (address: string): Promise<void> {
-    const timeoutSignal = boundSignal(EXCHANGE_TIMEOUT, signal)
+    const timeoutSignal = createTimeoutSignal(EXCHANGE_TIMEOUT, signal)
     try {
       const reply = unpack(gossipMessageSchema, await link(address).exchange.mutate(pack(messageFor(incarnations.get(address))), { signal: timeoutSignal }))
       incarnations.set(address, reply.from)
@@ -135,7 +135,7 @@
   /** Skips unreachable peers, where a notice would only wait for its timeout. The exchanges keep retrying these peers. */
   function sendNotice (addresses: readonly string[], notice: PrefillNotice): void {
     for (const address of addresses) {
-      if (!reachable.isUnreachable(address)) link(address).reading.mutate(notice, { signal: boundSignal(PREFILL_NOTICE_TIMEOUT) }).catch((error) => reachable.lost(address, error))
+      if (!reachable.isUnreachable(address)) link(address).reading.mutate(notice, { signal: createTimeoutSignal(PREFILL_NOTICE_TIMEOUT) }).catch((error) => reachable.lost(address, error))
     }
   }
 
@@ -188,7 +188,7 @@
         const sender = message.states.find((state) => state.incarnation === message.from)
         if (sender !== undefined) {
           reachable.regained(sender.peer)
-          fetchConfiguration(sender.peer, sender.configuration, boundSignal(EXCHANGE_TIMEOUT, signal)).catch((error) => reachable.lost(sender.peer, error))
+          fetchConfiguration(sender.peer, sender.configuration, createTimeoutSignal(EXCHANGE_TIMEOUT, signal)).catch((error) => reachable.lost(sender.peer, error))
         }
         return messageFor(message.from)
       },
--- a/src/gateway/proxied-request.ts
+++ b/src/gateway/proxied-request.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds } from '../clock.js'
 import type { UpstreamIncarnation } from '../placement/index.js'
 import type { Side } from '../rollout/index.js'
-import { mayRepeat, ServingError } from '../verdict.js'
+import { isRetrySafe, ServingError } from '../verdict.js'
 import type { FailureCode, Verdict } from '../verdict.js'
 import { refusal } from './acceptance.js'
 import type { AcceptedRequest } from './acceptance.js'
@@ -73,7 +73,7 @@
   const repeatable = route.kind === 'idempotent' || (route.kind === 'stream' && route.resumable)
   // A moved run has already run at its previous upstream, even if the new upstream did not accept it.
   const combinedVerdict: Verdict = proxied.attempts > 0 && verdict === 'not-run' ? 'may-have-run' : verdict
-  if (!mayRepeat(combinedVerdict, repeatable)) return 'it may run only once'
+  if (!isRetrySafe(combinedVerdict, repeatable)) return 'it may run only once'
   if (proxied.attempts >= route.maxAttempts) return 'its route allows no further attempt'
   if (proxied.deliveredAttempts === 0 || context.retryBudget(proxied.service).take(context.clock.now())) return undefined
   return 'the retry budget is used up'
--- a/src/gateway/reporting.ts
+++ b/src/gateway/reporting.ts
@@ -1,5 +1,5 @@
 /** Reports of a member: sends its state to an aggregator and receives the sums of the other nodes and store updates. */
-import { boundSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../bound-signal.js'
 import type { Clock, Milliseconds } from '../clock.js'
 import { aggregatorAnswerSchema, LIVENESS_TIMEOUT } from '../gossip/index.js'
 import type { AggregatorAnswer, FleetReport, MemberMessage, SharedWallClock } from '../gossip/index.js'
@@ -64,7 +64,7 @@
   let lastAnswer: { readonly others: FleetReport | undefined, readonly at: Milliseconds } | undefined
 
   async function reportTo (address: string): Promise<boolean> {
-    const timeoutSignal = boundSignal(REPORT_TIMEOUT, signal)
+    const timeoutSignal = createTimeoutSignal(REPORT_TIMEOUT, signal)
     try {
       const sentAt = clock.now()
       const message: MemberMessage = { state: options.localState(), wall: clock.wall(), known: storeUpdates.known() }
--- a/src/identifiers.ts
+++ b/src/identifiers.ts
@@ -1,53 +1,56 @@
 /**
- * Names and identifiers that cross process borders. Each is a branded string, so that an
- * organisation's name cannot be passed where an upstream's is expected.
+ * Names and identifiers that are exchanged between processes. Each type is a branded string, so that the name of an
+ * organisation cannot be passed where the name of an upstream is expected.
  */
 import * as z from 'zod'
 
-const NAME = /^[a-z0-9][a-z0-9-]{0,62}$/
+const NAME_PATTERN = /^[a-z0-9][a-z0-9-]{0,62}$/
 
-const name = () => z.string().regex(NAME, 'must be lower-case letters, digits and hyphens, at most 63')
+const createNameSchema = () => z.string().regex(NAME_PATTERN, 'must be lower-case letters, digits and hyphens, at most 63')
 
-/** A machine of the platform, as the instance list names it. */
-export const instanceNameSchema = name().brand<'InstanceName'>()
+/** Name of an instance (a machine of the platform), as the instance list states it. */
+export const instanceNameSchema = createNameSchema().brand<'InstanceName'>()
 export type InstanceName = z.infer<typeof instanceNameSchema>
 
-/** What can fail as a whole: a zone. */
-export const failureDomainSchema = name().brand<'FailureDomain'>()
+/** Name of a failure domain: a zone whose instances can fail together. */
+export const failureDomainSchema = createNameSchema().brand<'FailureDomain'>()
 export type FailureDomain = z.infer<typeof failureDomainSchema>
 
-/** A customer whose use is limited and reported. */
-export const organisationNameSchema = name().brand<'OrganisationName'>()
+/** Name of an organisation: a customer with its own limits and reports. */
+export const organisationNameSchema = createNameSchema().brand<'OrganisationName'>()
 export type OrganisationName = z.infer<typeof organisationNameSchema>
 
-/** A server behind the system: one model engine or one plain service process. */
-export const upstreamNameSchema = name().brand<'UpstreamName'>()
+/** Name of an upstream: one model engine or one plain service process that the gateway sends requests to. */
+export const upstreamNameSchema = createNameSchema().brand<'UpstreamName'>()
 export type UpstreamName = z.infer<typeof upstreamNameSchema>
 
-/** What upstreams offer in common; classes are served by one service. */
-export const serviceNameSchema = name().brand<'ServiceName'>()
+/** Name of a service: a set of upstreams that can serve the same request classes. Each class belongs to one service. */
+export const serviceNameSchema = createNameSchema().brand<'ServiceName'>()
 export type ServiceName = z.infer<typeof serviceNameSchema>
 
-/** A kind of work with one target. */
-export const classNameSchema = name().brand<'ClassName'>()
+/** Name of a request class: requests that share one service-level target. */
+export const classNameSchema = createNameSchema().brand<'ClassName'>()
 export type ClassName = z.infer<typeof classNameSchema>
 
-/** One life of one entry process. A restarted process has a new incarnation. */
+/** Identifier of one run of an entry process. A restarted process has a new incarnation. */
 export const incarnationSchema = z.string().regex(/^[a-z0-9-]{1,80}$/).brand<'Incarnation'>()
 export type Incarnation = z.infer<typeof incarnationSchema>
 
-const REQUEST_ID = /^([a-z0-9-]{1,80})\.([A-Za-z0-9_-]{16,64})$/
+const REQUEST_ID_PATTERN = /^([a-z0-9-]{1,80})\.([A-Za-z0-9_-]{16,64})$/
 
-/** `<incarnation>.<random>`: the incarnation is the request's home, the only process that may dispatch it. */
-export const requestIdSchema = z.string().regex(REQUEST_ID, 'must be <incarnation>.<16 to 64 random characters>').brand<'RequestId'>()
+/**
+ * Identifier of a request, `<incarnation>.<random>`. The incarnation is the home of the request: the only process that
+ * may dispatch it.
+ */
+export const requestIdSchema = z.string().regex(REQUEST_ID_PATTERN, 'must be <incarnation>.<16 to 64 random characters>').brand<'RequestId'>()
 export type RequestId = z.infer<typeof requestIdSchema>
 
-/** `host:port` of a process. */
+/** Address of a process, `host:port`. The host is an IP address. */
 export const addressSchema = z.string().regex(/^(\d{1,3}(\.\d{1,3}){3}|\[[0-9a-f:]+\]):\d{1,5}$/i, 'must be an IP number and a port').brand<'Address'>()
 export type Address = z.infer<typeof addressSchema>
 
 /**
- * Incarnation that is the home of a request.
+ * Returns the incarnation that is the home of a request.
  *
  * @example
  * homeOf(requestIdSchema.parse('entry-1-x7.0123456789abcdef')) // 'entry-1-x7'
@@ -57,9 +60,11 @@
 }
 
 /**
- * Builds a request id for a home.
+ * Builds a request id.
  *
- * @param random 16 to 64 characters of `[A-Za-z0-9_-]`, unguessable
+ * @param home incarnation that owns the request
+ * @param random 16 to 64 unpredictable characters of `[A-Za-z0-9_-]`
+ * @throws ZodError when `random` does not have this form
  * @example
  * requestIdFor(incarnation, randomBytes(16).toString('base64url'))
  */
--- a/src/json.ts
+++ b/src/json.ts
@@ -1,10 +1,10 @@
-/** JSON text that another process wrote, possibly of another version. */
+/** Parsing of JSON text written by other processes, which may run another version of the software. */
 import type * as z from 'zod'
 
 /**
- * Reads a value that may be unreadable.
+ * Parses a JSON text and validates the value against a schema.
  *
- * @returns undefined when the text is not JSON or does not pass the schema
+ * @returns the value, or undefined if the text is not valid JSON or does not match the schema
  * @example
  * const record = readJson(nodeRecordSchema, entry.value)
  */
@@ -13,9 +13,9 @@
 }
 
 /**
- * Parses a text that may be no JSON.
+ * Parses a JSON text without throwing.
  *
- * @returns undefined when it is none
+ * @returns the value, or undefined if the text is not valid JSON
  * @example
  * parseJson('{') // undefined
  */
--- a/src/log.ts
+++ b/src/log.ts
@@ -1,41 +1,41 @@
-/**
- * Structured log lines for changes of state. What happens often is counted, not logged.
- */
+/** Structured logging of state changes, one JSON object per line. Frequent events are counted in metrics instead. */
 import loglevel from 'loglevel'
 import type { LogLevelDesc } from 'loglevel'
 
-/** Facts of one line. Values must be JSON. */
-export type LogFacts = Readonly<Record<string, string | number | boolean | undefined>>
+/** Additional fields of a log line. */
+export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>
 
-/** Writes lines of one process. */
+/** Logger of one process. */
 export interface Log {
-  info (event: string, facts?: LogFacts): void
-  warn (event: string, facts?: LogFacts): void
-  error (event: string, facts?: LogFacts): void
+  info (event: string, fields?: LogFields): void
+  warn (event: string, fields?: LogFields): void
+  error (event: string, fields?: LogFields): void
 }
 
 /**
- * @param processName name of the process, written into each line
- * @param level least severe level that is written; `silent` for none
- * @param wall wall clock for the time stamp
- * @param write sink for one line of an event; standard error by default
+ * Creates the logger of a process.
+ *
+ * @param processName written into each line
+ * @param level minimum level that is written, or `silent` for none
+ * @param wall wall clock for the timestamps
+ * @param write sink that receives each line and the name of its event. Default: standard error.
  * @example
  * const log = createLog('entry-1', 'info', clock.wall)
  * log.info('upstream-leaving', { upstream: 'engine-4', source: 'cloud' })
  */
-export function createLog (processName: string, level: LogLevelDesc, wall: () => number, write: (line: string, event: string) => void = toStandardError): Log {
+export function createLog (processName: string, level: LogLevelDesc, wall: () => number, write: (line: string, event: string) => void = writeToStandardError): Log {
   const logger = loglevel.getLogger(`hornbeamgap/${processName}`)
-  logger.methodFactory = (method) => (event: string, facts: LogFacts = {}) => {
-    write(JSON.stringify({ time: new Date(wall()).toISOString(), level: method, process: processName, event, ...facts }), event)
+  logger.methodFactory = (method) => (event: string, fields: LogFields = {}) => {
+    write(JSON.stringify({ time: new Date(wall()).toISOString(), level: method, process: processName, event, ...fields }), event)
   }
   logger.setLevel(level, false)
   return {
-    info: (event, facts) => logger.info(event, facts),
-    warn: (event, facts) => logger.warn(event, facts),
-    error: (event, facts) => logger.error(event, facts)
+    info: (event, fields) => logger.info(event, fields),
+    warn: (event, fields) => logger.warn(event, fields),
+    error: (event, fields) => logger.error(event, fields)
   }
 }
 
-function toStandardError (line: string): void {
+function writeToStandardError (line: string): void {
   process.stderr.write(line + '\n')
 }
--- a/src/metrics.ts
+++ b/src/metrics.ts
@@ -1,4 +1,4 @@
-/** Counters and latency quantiles of one process, and their page in the Prometheus text format. */
+/** Counters, gauges and latency quantiles of one process, in the Prometheus text exposition format. */
 import { build } from 'hdr-histogram-js'
 import type { Histogram } from 'hdr-histogram-js'
 import type { Milliseconds } from './clock.js'
@@ -7,22 +7,22 @@
 import type { Outcome, RequestKey } from './request/index.js'
 import type { Verdict } from './verdict.js'
 
-/** What an entry node counts besides its ledger. */
+/** Metrics of an entry node. They are kept apart from the counts of its ledger, from which reports are made. */
 export interface EntryMetrics {
   accepted (request: RequestKey): void
   refused (request: RequestKey, code: string): void
   firstToken (request: RequestKey, duration: Milliseconds): void
   attemptFailed (request: RequestKey, verdict: Verdict): void
   ended (request: RequestKey, outcome: Outcome, duration: Milliseconds, work: WorkDone): void
-  /** Adds one to a counter of the process. */
+  /** Increments a counter of the process. */
   count (name: CounterName): void
-  /** Names a value that is read when the page is. */
+  /** Registers a gauge. `read` is called each time the metrics are scraped. */
   gauge (name: string, read: () => number): void
-  /** The page. */
+  /** All metrics in the Prometheus text format. */
   text (): string
 }
 
-/** Counters of the process that belong to no class. */
+/** Counters of the process that are not labelled with a request class. */
 export type CounterName = 'invalid_requests' | 'unauthenticated_requests' | 'connections_refused' | 'peer_failures'
 
 interface ClassMetrics {
@@ -33,10 +33,14 @@
   recomputedTokens: number
 }
 
+/** Percentiles that are exported. */
 const QUANTILES = [50, 95, 99]
-const LONGEST: Milliseconds = 3_600_000
+/** Maximum duration that the histograms record. Longer ones are recorded as this value. */
+const MAX_DURATION: Milliseconds = 3_600_000
 
 /**
+ * Creates the metrics of an entry node.
+ *
  * @example
  * const metrics = createEntryMetrics()
  * metrics.count('invalid_requests')
@@ -46,25 +50,25 @@
   const counters = new Map<CounterName, number>()
   const gauges = new Map<string, () => number>()
 
-  function of (requestClass: ClassName): ClassMetrics {
-    const known = classes.get(requestClass) ?? createClassMetrics()
-    classes.set(requestClass, known)
-    return known
+  function metricsOf (requestClass: ClassName): ClassMetrics {
+    const existing = classes.get(requestClass) ?? createClassMetrics()
+    classes.set(requestClass, existing)
+    return existing
   }
 
-  function add (request: RequestKey, outcome: string): void {
-    const { outcomes } = of(request.class)
+  function countOutcome (request: RequestKey, outcome: string): void {
+    const { outcomes } = metricsOf(request.class)
     outcomes.set(outcome, (outcomes.get(outcome) ?? 0) + 1)
   }
 
   return {
-    accepted: (request) => add(request, 'accepted'),
-    refused: (request) => add(request, 'refused'),
-    firstToken: (request, duration) => of(request.class).firstToken.recordValue(clamp(duration)),
-    attemptFailed: (request, verdict) => add(request, `attempt-failed-${verdict}`),
+    accepted: (request) => countOutcome(request, 'accepted'),
+    refused: (request) => countOutcome(request, 'refused'),
+    firstToken: (request, duration) => metricsOf(request.class).firstToken.recordValue(clamp(duration)),
+    attemptFailed: (request, verdict) => countOutcome(request, `attempt-failed-${verdict}`),
     ended: (request, outcome, duration, work) => {
-      const metrics = of(request.class)
-      add(request, outcome.kind === 'served' && outcome.late ? 'late' : outcome.kind)
+      const metrics = metricsOf(request.class)
+      countOutcome(request, outcome.kind === 'served' && outcome.late ? 'late' : outcome.kind)
       metrics.wholeAnswer.recordValue(clamp(duration))
       metrics.generatedTokens += work.generatedTokens
       metrics.recomputedTokens += work.recomputedTokens
@@ -85,11 +89,11 @@
 }
 
 function createHistogram (): Histogram {
-  return build({ lowestDiscernibleValue: 1, highestTrackableValue: LONGEST, numberOfSignificantValueDigits: 2 })
+  return build({ lowestDiscernibleValue: 1, highestTrackableValue: MAX_DURATION, numberOfSignificantValueDigits: 2 })
 }
 
 function clamp (duration: Milliseconds): number {
-  return Math.min(LONGEST, Math.max(0, Math.round(duration)))
+  return Math.min(MAX_DURATION, Math.max(0, Math.round(duration)))
 }
 
 function classLines (name: ClassName, metrics: ClassMetrics): string[] {
--- a/src/operator/api.ts
+++ b/src/operator/api.ts
@@ -65,7 +65,7 @@
 
 /** What the node's monitoring sees of its report. Strays should stay 0: events for requests that were not open. */
 function registerGauges ({ metrics, ledger, reports }: OperatorContext): void {
-  metrics.gauge('ledger_strays', () => ledger.usage().strays)
+  metrics.gauge('ledger_strays', () => ledger.usage().unmatchedEvents)
   metrics.gauge('ledger_cells', () => ledger.usage().cells)
   metrics.gauge('report_writes', () => reports.usage().writes)
   metrics.gauge('report_bytes', () => reports.usage().lastBytes)
--- a/src/operator/command/change.ts
+++ b/src/operator/command/change.ts
@@ -2,7 +2,7 @@
 import { stringify } from 'smol-toml'
 import { EXIT } from '../../bin/command-line.js'
 import { timeText } from '../../report/index.js'
-import { parseToml, readText } from '../../settings.js'
+import { parseToml, readTextFile } from '../../settings.js'
 import { ServingError } from '../../verdict.js'
 import { changeAnswerSchema, currentAnswerSchema, historyAnswerSchema } from '../messages.js'
 import type { ChangeAnswer } from '../messages.js'
@@ -31,7 +31,7 @@
  * await applyCommand(client, output, 'configuration.toml', { reason: 'slower bookings at noon' })
  */
 export async function applyCommand (client: OperatorClient, output: CommandOutput, path: string, options: ChangeCommandOptions): Promise<void> {
-  const document = parseToml(readText(path), path)
+  const document = parseToml(readTextFile(path), path)
   await change(client, output, '/operator/configuration', { document }, options)
 }
 
--- a/src/operator/command/plots.ts
+++ b/src/operator/command/plots.ts
@@ -1,6 +1,6 @@
 /** Plots of the report's page as inline SVG, each with its content in words for readers who cannot see it. */
 import { HOUR } from '../../clock.js'
-import { countText, durationText, meets, percentText } from '../../report/index.js'
+import { countText, durationText, meetsTarget, percentText } from '../../report/index.js'
 import type { LatencySummary, ReportDocument, RequestSums } from '../../report/index.js'
 import { html } from './markup.js'
 import type { Markup } from './markup.js'
@@ -56,7 +56,7 @@
 export function latencyBar (title: string, latency: LatencySummary | undefined): Markup {
   if (latency === undefined) return html``
   const scale = BAR_WIDTH / (Math.max(latency.achieved, latency.target ?? 0, 1) * TARGET_SPACE)
-  const met = meets(latency)
+  const met = meetsTarget(latency)
   const verdict = met === undefined ? 'no target' : met ? 'met' : 'missed'
   const words = `${percentText(latency.quantile)} of ${countText(latency.count)} answers within ${durationText(latency.achieved)}`
   const target = latency.target === undefined ? '' : `, target ${durationText(latency.target)}`
--- a/src/operator/inquiry.ts
+++ b/src/operator/inquiry.ts
@@ -1,5 +1,5 @@
 /** Questions that this node answers for peers, and asks of them for operators. */
-import { boundSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../bound-signal.js'
 import type { Milliseconds } from '../clock.js'
 import { SECOND } from '../clock.js'
 import { homeOf } from '../identifiers.js'
@@ -122,7 +122,7 @@
   for (let start = 0; start < records.length; start += CONCURRENT) {
     const batch = records.slice(start, start + CONCURRENT)
     answers.push(...await Promise.all(batch.map(async (record) => {
-      const signal = boundSignal(ANSWER_BOUND, context.signal)
+      const signal = createTimeoutSignal(ANSWER_BOUND, context.signal)
       const asked = record.incarnation === self ? Promise.resolve(own()) : ask(context.peers.at(record.peerAddress), signal)
       return { record, answer: await asked.catch(() => undefined) }
     })))
--- a/src/planner/planner.ts
+++ b/src/planner/planner.ts
@@ -1,5 +1,5 @@
 /** Planner process. One runs next to each entry node, and only the one that holds the lease acts. */
-import { boundSignal } from '../bound-signal.js'
+import { createTimeoutSignal } from '../bound-signal.js'
 import { randomBytes } from 'node:crypto'
 import { setMaxListeners } from 'node:events'
 import type { Clock, Milliseconds } from '../clock.js'
@@ -107,7 +107,7 @@
     kill: shutDown,
     stop: async () => {
       await leadership.release().catch(() => {})
-      await reporter.finish(boundSignal(STOP_TIMEOUT)).catch(() => false)
+      await reporter.finish(createTimeoutSignal(STOP_TIMEOUT)).catch(() => false)
       await shutDown()
     }
   }
--- a/src/planner/report-folder.ts
+++ b/src/planner/report-folder.ts
@@ -20,7 +20,7 @@
 import { nodeRecordSchema } from '../membership/index.js'
 import { ABSENT } from '../protocols/key-value.js'
 import type { KeyValue, KeyValueEntry } from '../protocols/key-value.js'
-import { decodeSnapshot, decodeTotal, foldInto, incarnationPrefix, isClosed, PERIOD, periodOf, periodPrefix, shardPrefix, SHARDS, snapshotName, totalKey, totalsOf } from '../report/index.js'
+import { decodeSnapshot, decodeTotal, foldInto, incarnationPrefix, isClosed, PERIOD, periodOf, periodPrefix, shardPrefix, SHARDS, snapshotName, totalKey, totalKeysOf } from '../report/index.js'
 import type { Snapshot, TotalKey } from '../report/index.js'
 import { ServingError } from '../verdict.js'
 
@@ -205,7 +205,7 @@
 
 async function foldSnapshots (options: FoldOptions, closed: readonly StoredSnapshot[], signal: AbortSignal): Promise<void> {
   const snapshots = closed.map((stored) => stored.snapshot)
-  for (const key of totalsOf(snapshots)) await addToTotal(options, key, snapshots, signal)
+  for (const key of totalKeysOf(snapshots)) await addToTotal(options, key, snapshots, signal)
   for (const { entry } of closed) await options.keyValue.compareAndDelete(entry.key, entry.revision, signal)
 }
 
--- a/src/protocols/restorable-key-value.ts
+++ b/src/protocols/restorable-key-value.ts
@@ -12,7 +12,7 @@
 import { createEpochTracker } from './epochs.js'
 import { ABSENT } from './key-value.js'
 import type { KeyValue, KeyValueChange, KeyValueEntry, KeyValueListing, LeaseId, SwapResult, WriteOptions } from './key-value.js'
-import { epochOf, revisionIn, withinEpoch } from '../revision.js'
+import { epochOf, revisionOfEpoch, revisionWithinEpoch } from '../revision.js'
 
 /** A value that the service returned, with the epoch in which it did. */
 export interface WithEpoch<T> {
@@ -85,9 +85,9 @@
 
   async function swap (key: string, expectedRevision: number, signal: AbortSignal | undefined, call: (expected: number) => Promise<WithEpoch<SwapResult>>): Promise<SwapResult> {
     if (expectedRevision !== ABSENT && isPastEpoch(epochOf(expectedRevision))) return { kind: 'conflict', current: await get(key, signal) }
-    const { epoch, value } = await write(() => call(withinEpoch(expectedRevision)))
+    const { epoch, value } = await write(() => call(revisionWithinEpoch(expectedRevision)))
     switch (value.kind) {
-      case 'swapped': return { kind: 'swapped', revision: revisionIn(epoch, value.revision) }
+      case 'swapped': return { kind: 'swapped', revision: revisionOfEpoch(epoch, value.revision) }
       case 'conflict': return { kind: 'conflict', current: value.current && entryIn(epoch, value.current) }
     }
   }
@@ -98,7 +98,7 @@
     list: async (...call) => {
       const { epoch, value } = await service.list(...call)
       epochs.observe(epoch)
-      return { entries: value.entries.map((entry) => entryIn(epoch, entry)), revision: revisionIn(epoch, value.revision) }
+      return { entries: value.entries.map((entry) => entryIn(epoch, entry)), revision: revisionOfEpoch(epoch, value.revision) }
     },
     put: async (key, value, options) => {
       const serviceOptions = toServiceOptions(options)
@@ -129,7 +129,7 @@
       const watchEpoch = epochOf(fromRevision)
       if (isPastEpoch(watchEpoch)) throw pastEpochError('the watch', 'not-run')
       const ended = AbortSignal.any([signal, epochs.ended()])
-      for await (const { epoch, value } of service.watch(prefix, withinEpoch(fromRevision), ended, idleTimeout)) {
+      for await (const { epoch, value } of service.watch(prefix, revisionWithinEpoch(fromRevision), ended, idleTimeout)) {
         epochs.observe(epoch)
         if (epoch !== watchEpoch) throw pastEpochError('the watch', 'not-run')
         yield value.map((change) => changeIn(epoch, change))
@@ -140,13 +140,13 @@
 }
 
 function entryIn (epoch: number, entry: KeyValueEntry): KeyValueEntry {
-  return { ...entry, revision: revisionIn(epoch, entry.revision) }
+  return { ...entry, revision: revisionOfEpoch(epoch, entry.revision) }
 }
 
 function changeIn (epoch: number, change: KeyValueChange): KeyValueChange {
   switch (change.kind) {
     case 'put': return { kind: 'put', entry: entryIn(epoch, change.entry) }
-    case 'delete': return { ...change, revision: revisionIn(epoch, change.revision) }
+    case 'delete': return { ...change, revision: revisionOfEpoch(epoch, change.revision) }
   }
 }
 
--- a/src/random.ts
+++ b/src/random.ts
@@ -1,24 +1,27 @@
 /**
- * Seeded pseudorandom numbers. Every decision that needs randomness receives a {@link Random}, so a
- * run can be repeated from its seed.
+ * Seeded pseudorandom numbers. Code that needs randomness receives a {@link Random}, so that a run can be reproduced
+ * from its seed.
  */
 import { uniformInt } from 'pure-rand/distribution/uniformInt'
 import { xoroshiro128plus } from 'pure-rand/generator/xoroshiro128plus'
 
-/** A stream of pseudorandom numbers. */
+/** Generator of pseudorandom numbers. */
 export interface Random {
   /** Uniform integer in `[0, bound)`. */
   integer (bound: number): number
   /** Uniform number in `[0, 1)`. */
   fraction (): number
-  /** One element of a non-empty list. */
+  /** Random element of a list. Throws a RangeError if the list is empty. */
   pick<T> (items: readonly T[]): T
 }
 
+/** Number of distinct values of `fraction`. */
 const FRACTION_STEPS = 0x40000000
 
 /**
- * @param seed any integer; equal seeds give equal streams
+ * Creates a generator.
+ *
+ * @param seed any integer. Equal seeds give equal sequences.
  * @example
  * const random = createRandom(7)
  * random.integer(6) // the same on every run
--- a/src/repeat.ts
+++ b/src/repeat.ts
@@ -1,22 +1,23 @@
-/** Periodic tasks whose failures are logged as changes of state, not once a period. */
+/** Periodic tasks. Failures are logged as changes of state instead of once per run. */
 import { every } from './clock.js'
 import type { Clock, Milliseconds } from './clock.js'
 import type { Log } from './log.js'
 
-/** What a periodic task runs under. */
+/** Context of a periodic task. */
 export interface RepeatContext {
   readonly clock: Clock
   readonly log: Log
-  /** Ends the task. */
+  /** Stops the task when aborted. */
   readonly signal: AbortSignal
 }
 
 /**
- * Runs `work` every `period`. The first failure in a row is logged as `<task>-failing`, the first
- * success after it as `<task>-works-again`; an outage of an hour is two lines.
+ * Starts a periodic task. The first of consecutive failures is logged as `<task>-failing`, and the first success after
+ * them as `<task>-works-again`. An outage therefore produces two log lines, however long it lasts.
  *
- * @param task name in the log lines
+ * @param task name of the task in the log lines
  * @param period pause between two runs, in milliseconds
+ * @param work one run of the task
  * @example
  * repeat({ clock, log, signal }, 'instance-list', SECOND, refresh)
  */
@@ -24,16 +25,16 @@
   const { clock, log, signal } = context
   let failing = false
 
-  async function attempt (): Promise<void> {
+  async function runOnce (): Promise<void> {
     await work()
     if (failing) log.info(`${task}-works-again`)
     failing = false
   }
 
-  function fail (error: unknown): void {
+  function reportFailure (error: unknown): void {
     if (!failing) log.warn(`${task}-failing`, { error: String(error) })
     failing = true
   }
 
-  every(clock, period, signal, attempt, fail).catch(() => {})
+  every(clock, period, signal, runOnce, reportFailure).catch(() => {})
 }
--- a/src/report/cost.ts
+++ b/src/report/cost.ts
@@ -1,27 +1,32 @@
-/** Cost of classes and organisations: each service's spend, shared out by the work done for them. */
+/** Allocation of the spend of each service to request classes and organisations, in proportion to the work done. */
 import type { ServiceName } from '../identifiers.js'
 import type { Spend } from './ledger.js'
-import type { OpenLine } from './line.js'
+import type { LineBuilder } from './line.js'
 
-/** Lines that the same spend is shared out over, each way of grouping apart from the others. */
+/**
+ * Report lines that spend is allocated to. The groupings show the same requests, so the full spend is allocated within
+ * each of them.
+ */
 export interface Groupings {
-  readonly lines: readonly OpenLine[]
-  readonly classes: readonly OpenLine[]
-  readonly organisations: readonly OpenLine[]
-  readonly total: readonly OpenLine[]
+  /** One line per class and organisation. */
+  readonly lines: readonly LineBuilder[]
+  readonly classes: readonly LineBuilder[]
+  readonly organisations: readonly LineBuilder[]
+  /** The single line over all requests, if there is one. */
+  readonly total: readonly LineBuilder[]
 }
 
 /**
- * Shares the spend of each service out over the classes it serves, in proportion to the tokens that
- * were computed for them, repeated ones included; by answers where no tokens are counted.
+ * Allocates the spend of each service to the classes that it serves, in proportion to the tokens computed for them,
+ * including recomputed ones. Services without token counts are allocated by the number of answers.
  *
- * @returns the whole spend, and what no line could be charged with
+ * @returns the total spend, and the part of it that belongs to services without any work
  * @example
  * const { spend, spendUnallocated } = allocateSpend(spend, groupings)
  */
 export function allocateSpend (spend: readonly Spend[], groupings: Groupings): { spend: number, spendUnallocated: number } {
   const byService = new Map<ServiceName, number>()
-  for (const one of spend) byService.set(one.service, one.amount + (byService.get(one.service) ?? 0))
+  for (const item of spend) byService.set(item.service, item.amount + (byService.get(item.service) ?? 0))
   let unallocated = 0
   for (const [service, amount] of byService) unallocated += allocate(service, amount, groupings)
   return { spend: sum([...byService.values()]), spendUnallocated: unallocated }
@@ -30,27 +35,27 @@
 function allocate (service: ServiceName, amount: number, groupings: Groupings): number {
   const lines = groupings.lines.filter((line) => line.requestClass?.service === service)
   const weightOf = sum(lines.map(tokensOf)) > 0 ? tokensOf : answersOf
-  const whole = sum(lines.map(weightOf))
-  if (whole === 0) return amount
+  const totalWeight = sum(lines.map(weightOf))
+  if (totalWeight === 0) return amount
   for (const line of lines) {
-    const cost = amount * weightOf(line) / whole
+    const cost = amount * weightOf(line) / totalWeight
     charge(line, cost)
-    charge(groupings.classes.find((one) => one.class === line.class), cost)
-    charge(groupings.organisations.find((one) => one.organisation === line.organisation), cost)
+    charge(groupings.classes.find((candidate) => candidate.class === line.class), cost)
+    charge(groupings.organisations.find((candidate) => candidate.organisation === line.organisation), cost)
     charge(groupings.total[0], cost)
   }
   return 0
 }
 
-function charge (line: OpenLine | undefined, cost: number): void {
+function charge (line: LineBuilder | undefined, cost: number): void {
   if (line !== undefined) line.cost = cost + (line.cost ?? 0)
 }
 
-function tokensOf (line: OpenLine): number {
+function tokensOf (line: LineBuilder): number {
   return line.tokens.generated + line.tokens.recomputed
 }
 
-function answersOf (line: OpenLine): number {
+function answersOf (line: LineBuilder): number {
   return line.sums.served + line.sums.late
 }
 
--- a/src/report/counts.ts
+++ b/src/report/counts.ts
@@ -1,27 +1,27 @@
 /**
- * Counts of one class, organisation and period. All of them only grow and add up over nodes and
- * epochs; what is open follows from them.
+ * Request counts of one class, organisation and period. The counts are monotonic and can be added over nodes and
+ * epochs. The number of open requests is derived from them.
  */
 import * as z from 'zod'
 
 const count = z.number().int()
 
-/** Counts as they are written. */
+/** Schema of the counts. */
 export const countsSchema = z.object({
   accepted: count,
-  /** Refused before acceptance; proven not to have run. */
+  /** Refused before acceptance, so proven not to have run. */
   refused: count,
   served: count,
   late: count,
-  /** Accepted, and refused after that. */
+  /** Refused after acceptance. */
   refusedLater: count,
   lost: count,
   unknown: count,
   handedOver: count,
   takenOver: count,
   /**
-   * Open at a node that was given up as gone. A node that turns out to live subtracts here what was
-   * added for it, so this one may be negative in a single report and never is in the sum.
+   * Requests that were open at a node when it was given up. If the node turns out to be alive, it subtracts the same
+   * number in its next epoch. The count may therefore be negative in a single report, but never in the sum.
    */
   abandoned: count,
   generatedTokens: count,
@@ -30,39 +30,44 @@
 /** Counts of one class, organisation and period. */
 export type Counts = z.infer<typeof countsSchema>
 
-const NAMES = Object.keys(countsSchema.shape) as (keyof Counts)[]
+const COUNT_NAMES = Object.keys(countsSchema.shape) as (keyof Counts)[]
 
-/** Counts as they are written: those that are not zero. */
+/** Counts in their stored form, which omits zero counts. */
 export type CompactCounts = { [name in keyof Counts]?: number | undefined }
 
-/** @example const counts = zeroCounts() */
+/**
+ * Creates counts that are all zero.
+ *
+ * @example
+ * const counts = zeroCounts()
+ */
 export function zeroCounts (): Counts {
-  return Object.fromEntries(NAMES.map((name) => [name, 0])) as Counts
+  return Object.fromEntries(COUNT_NAMES.map((name) => [name, 0])) as Counts
 }
 
 /**
- * Adds counts in place.
+ * Adds counts to `sum` in place.
  *
- * @param factor -1 to take out again what was added before
+ * @param factor -1 to subtract instead
  * @example
  * addCounts(sum, cell.counts)
  */
 export function addCounts (sum: Counts, added: CompactCounts, factor: 1 | -1 = 1): void {
-  for (const name of NAMES) sum[name] += factor * (added[name] ?? 0)
+  for (const name of COUNT_NAMES) sum[name] += factor * (added[name] ?? 0)
 }
 
 /**
- * The counts that are not zero; what a snapshot writes.
+ * Omits the zero counts, to keep snapshots small.
  *
  * @example
  * compactCounts({ ...zeroCounts(), accepted: 3 }) // { accepted: 3 }
  */
 export function compactCounts (counts: Counts): CompactCounts {
-  return Object.fromEntries(NAMES.filter((name) => counts[name] !== 0).map((name) => [name, counts[name]]))
+  return Object.fromEntries(COUNT_NAMES.filter((name) => counts[name] !== 0).map((name) => [name, counts[name]]))
 }
 
 /**
- * Requests that are open at the node or nodes these counts come from.
+ * Computes the number of requests that are open at the nodes that the counts come from.
  *
  * @example
  * openOf({ ...zeroCounts(), accepted: 3, served: 2 }) // 1
--- a/src/report/death.ts
+++ b/src/report/death.ts
@@ -1,6 +1,7 @@
 /**
- * What another node's notes tell of the requests that were open at a node when it died. The sums count
- * them already, as abandoned by the dead node; a note says more about some of them and adds nothing.
+ * Death records: what is known about the requests that were open at a node when it died, from the notes that another
+ * node kept about them. These requests are already part of the sums as abandoned by the dead node. A death record
+ * states what became of them and is not added to the sums.
  */
 import * as z from 'zod'
 import type { Milliseconds } from '../clock.js'
@@ -9,26 +10,28 @@
 
 const count = z.number().int()
 
-/** Requests of one class and organisation that were open at a node when it died. */
-export const deathNoteSchema = z.strictObject({
-  /** Period in which the death was noticed. */
+/** Requests of one class and organisation that were open at a node when it died, in their stored form. */
+export const deathRecordSchema = z.strictObject({
+  /** Wall time of the start of the period in which the death was detected. */
   period: z.number().int().nonnegative(),
   incarnation: incarnationSchema,
   class: classNameSchema,
   organisation: organisationNameSchema,
-  /** Streams that the other node attached to, to answer their callers. */
+  /** Requests whose streams the other node resumed in order to answer the callers. */
   resumed: count,
   lost: count,
   unknown: count
 })
-export type DeathNote = z.infer<typeof deathNoteSchema>
+export type DeathRecord = z.infer<typeof deathRecordSchema>
 
 /**
- * @param period in which the death was noticed
+ * Converts the account of one dead node to death records.
+ *
+ * @param period period in which the death was detected
  * @example
- * notes.push(...deathNotesOf(account, periodOf(clock.wall())))
+ * records.push(...deathRecordsOf(account, periodOf(clock.wall())))
  */
-export function deathNotesOf (account: DeadHomeCounts, period: Milliseconds): DeathNote[] {
+export function deathRecordsOf (account: DeadHomeCounts, period: Milliseconds): DeathRecord[] {
   return account.rows.map((row) => ({
     period,
     incarnation: account.incarnation,
@@ -41,17 +44,17 @@
 }
 
 /**
- * Adds up what several nodes noted, one entry for each dead node, class and organisation.
+ * Merges death records, which several nodes may have written, into one per period, dead node, class and organisation.
  *
  * @example
- * sumDeathNotes([...total.deaths, ...snapshot.deaths])
+ * sumDeathRecords([...total.deaths, ...snapshot.deaths])
  */
-export function sumDeathNotes (notes: readonly DeathNote[]): DeathNote[] {
-  const sums = new Map<string, DeathNote>()
-  for (const note of notes) {
-    const name = `${note.period}/${note.incarnation}/${note.class}/${note.organisation}`
-    const sum = sums.get(name)
-    sums.set(name, sum === undefined ? note : { ...sum, resumed: sum.resumed + note.resumed, lost: sum.lost + note.lost, unknown: sum.unknown + note.unknown })
+export function sumDeathRecords (records: readonly DeathRecord[]): DeathRecord[] {
+  const sums = new Map<string, DeathRecord>()
+  for (const record of records) {
+    const key = `${record.period}/${record.incarnation}/${record.class}/${record.organisation}`
+    const sum = sums.get(key)
+    sums.set(key, sum === undefined ? record : { ...sum, resumed: sum.resumed + record.resumed, lost: sum.lost + record.lost, unknown: sum.unknown + record.unknown })
   }
   return [...sums.values()]
 }
--- a/src/report/document.ts
+++ b/src/report/document.ts
@@ -1,111 +1,121 @@
-/** The report as operators and organisations receive it: the JSON contract of the report's API. */
+/** Schemas of the report document, as the report API returns it to operators and organisations. */
 import * as z from 'zod'
 import { classNameSchema, incarnationSchema, instanceNameSchema, organisationNameSchema, serviceNameSchema } from '../identifiers.js'
 
 const amount = z.number()
 const requests = z.number().int().nonnegative()
 
-/** Achieved latency against its target; durations in milliseconds. */
+/** Achieved latency compared with its target. Durations are in milliseconds. */
 export const latencySummarySchema = z.object({
-  /** Answers measured: those served or late. */
+  /** Number of measured answers, including late ones. */
   count: requests,
   median: amount,
-  /** Share of answers that the target speaks of. */
+  /** Fraction of the answers that the target applies to. */
   quantile: amount,
-  /** Duration that this share of the answers did not exceed. */
+  /** Duration that this fraction of the answers did not exceed. */
   achieved: amount,
   target: amount.optional()
 })
 export type LatencySummary = z.infer<typeof latencySummarySchema>
 
-/** An achieved share against its target. */
+/** An achieved fraction compared with its target. */
 export const shareSchema = z.object({ achieved: amount.optional(), target: amount.optional() })
 export type Share = z.infer<typeof shareSchema>
 
-/** Sums of requests. `asked` = `served` + `late` + `refused` + `lost` + `unknown` + `open`, always. */
+/** Numbers of requests. Invariant: `asked` = `served` + `late` + `refused` + `lost` + `unknown` + `open`. */
 export const requestSumsSchema = z.object({
-  /** Accepted or refused. */
+  /** All requests received: accepted, or refused before acceptance. */
   asked: requests,
   accepted: requests,
   served: requests,
   late: requests,
-  /** Not run; before or after acceptance. */
+  /** Refused before or after acceptance, without having been run. */
   refused: requests,
   lost: requests,
-  /** Nobody can tell any more whether these ran. */
+  /** Requests for which it can no longer be determined whether they ran. */
   unknown: requests,
   open: requests,
-  /** Accepted requests whose acceptance was never reported and is known from a hand-over; part of `accepted`. */
+  /** Accepted requests whose acceptance was never reported, known only from a hand-over. Included in `accepted`. */
   unreported: requests
 })
 export type RequestSums = z.infer<typeof requestSumsSchema>
 
-/** What one class, one organisation, or both together got. */
+/** Results of one class, one organisation, or one combination of both. */
 export const reportLineSchema = z.object({
   class: classNameSchema.optional(),
   organisation: organisationNameSchema.optional(),
   service: serviceNameSchema.optional(),
   sums: requestSumsSchema,
+  /** Refused requests by failure code. */
   refusals: z.record(z.string(), z.number().int()),
-  /** Served or late, out of all that have ended. */
+  /** Answered requests (served or late) as a fraction of all that have ended. */
   reliability: shareSchema,
-  /** Served, out of served and late. */
+  /** Answers within their targets as a fraction of all answers. */
   inTime: shareSchema,
   firstToken: latencySummarySchema.optional(),
   betweenTokens: latencySummarySchema.optional(),
   wholeAnswer: latencySummarySchema.optional(),
   generatedTokens: z.number().int(),
   recomputedTokens: z.number().int(),
-  /** Share of the service's spend, by tokens computed or, for plain services, by answers. */
+  /** Allocated part of the spend of the service: by computed tokens or, for plain services, by answers. */
   cost: amount.optional(),
   costPerThousandInTime: amount.optional()
 })
 export type ReportLine = z.infer<typeof reportLineSchema>
 
-/** Requests of one class in one period. */
+/** Numbers of requests of one class in one period. */
 export const periodLineSchema = z.object({ period: z.number(), class: classNameSchema, sums: requestSumsSchema })
 export type PeriodLine = z.infer<typeof periodLineSchema>
 
-/** Counts of a node between two wall times are unknown. */
+/** Interval between two wall times in which the counts of a node are unknown. */
 export const reportGapSchema = z.object({
   instance: instanceNameSchema,
   incarnation: incarnationSchema,
   from: z.number(),
   to: z.number(),
-  /** What another node's notes tell of requests that were open there. The sums count these as unknown or not at all. */
+  /**
+   * What another node noted about the requests that were open at this node. The sums count these requests as unknown or
+   * not at all.
+   */
   noted: z.array(z.object({ class: classNameSchema, organisation: organisationNameSchema, resumed: requests, lost: requests, unknown: requests }))
 })
 export type ReportGap = z.infer<typeof reportGapSchema>
 
-/** A report over one or more periods, as operators and organisations read it. */
+/** A report over one or more periods. */
 export const reportDocumentSchema = z.object({
   format: z.literal(1),
   deployment: z.string(),
-  /** Wall times; whole periods. */
+  /** Wall times of the start and the end, rounded to whole periods. */
   from: z.number(),
   to: z.number(),
+  /** Wall time at which the report was made. */
   madeAt: z.number(),
-  /** Totals are kept from this time on. */
+  /** Wall time from which on totals are retained. */
   keptFrom: z.number(),
-  /** Oldest last word of a node that is counting: what came after it at that node is not in here yet. */
+  /**
+   * Wall time up to which all running nodes have reported: the earliest of their latest snapshots. Later requests are
+   * included only in part.
+   */
   countedUntil: z.number(),
+  /** Number of running nodes whose current epoch is included. */
   nodesCounting: z.number().int(),
   total: reportLineSchema,
   classes: z.array(reportLineSchema),
   organisations: z.array(reportLineSchema),
+  /** One line per class and organisation. */
   lines: z.array(reportLineSchema),
   periods: z.array(periodLineSchema),
   gaps: z.array(reportGapSchema),
-  /** Nodes that are overdue and not given up yet; the gap goes on. */
+  /** Nodes that are overdue with their snapshots and have not been given up yet. `to` is the time of the report. */
   overdue: z.array(reportGapSchema),
-  /** Incarnations whose histograms were left out for their size. */
+  /** Incarnations whose histograms were omitted because of their size. */
   latencyOmitted: z.array(incarnationSchema),
   /** Targets of the deployment as a whole. */
   targets: z.object({ costPerThousandAnswers: amount, recomputedPerThousandTokens: amount }).optional(),
   spend: amount.optional(),
-  /** Spend of services that did no work in these periods. */
+  /** Spend of services that answered no requests in these periods. */
   spendUnallocated: amount.optional(),
-  /** What a reader must know, in sentences. */
+  /** Summary of the report in sentences. */
   statements: z.array(z.string())
 })
 export type ReportDocument = z.infer<typeof reportDocumentSchema>
--- a/src/report/explanation.ts
+++ b/src/report/explanation.ts
@@ -1,10 +1,10 @@
-/** Facts of a request as sentences. */
+/** Descriptions of the facts of a request, shown to operators. */
 import type { Outcome } from '../request/index.js'
 import type { Fact } from './fact.js'
 import { countText, durationText, refusalText } from './wording.js'
 
 /**
- * One fact as an operator reads it.
+ * Describes one fact in words.
  *
  * @example
  * describeFact({ kind: 'accepted' }) // 'accepted'
--- a/src/report/fact-store.ts
+++ b/src/report/fact-store.ts
@@ -1,24 +1,27 @@
-/** Facts of recent requests within a bound on memory: the oldest requests are forgotten first. */
+/** In-memory store of the facts of recent requests. Its size is bounded: the oldest requests are evicted first. */
 import type { RequestId } from '../identifiers.js'
 import type { RequestKey } from '../request/index.js'
 import type { Fact } from './fact.js'
 import type { FactStore, TimedFact } from './types.js'
 
-/** Facts kept of one request. A request that fails over and over may not push out all others. */
-const MOST_FACTS = 48
+/** Maximum number of facts kept per request, so that a request that fails repeatedly cannot evict all others. */
+const MAX_FACTS = 48
 
-/** Of these, so many of the end of its life are kept and the middle is dropped. */
-const LAST_FACTS = 16
+/** Number of latest facts kept when the maximum is exceeded. The facts between the first and the latest are dropped. */
+const KEPT_LAST_FACTS = 16
 
-/** Texts inside a fact are cut to this length, in characters. */
-const LONGEST_TEXT = 200
+/** Maximum length of an error message in a fact, in characters. Longer ones are truncated. */
+const MAX_TEXT_LENGTH = 200
 
-/** Estimated bytes of a request's own record and of a fact without its texts. */
+/** Estimated size of an entry without its facts, in bytes. */
 const REQUEST_BYTES = 400
+
+/** Estimated size of a fact without its texts, in bytes. */
 const FACT_BYTES = 160
 const BYTES_PER_CHARACTER = 2
 
-interface Remembered {
+/** Facts of one request, with the number of dropped facts and the estimated size. */
+interface RequestEntry {
   readonly key: RequestKey
   readonly facts: TimedFact[]
   dropped: number
@@ -26,26 +29,28 @@
 }
 
 /**
- * @param options `bytes`: bound on the estimated memory
+ * Creates an empty store.
+ *
+ * @param options `bytes`: maximum of the estimated memory use, in bytes
  * @example
  * const facts = createFactStore({ bytes: 8_388_608 })
  * facts.record(request, clock.wall(), { kind: 'accepted' })
  */
 export function createFactStore (options: { bytes: number }): FactStore {
-  const requests = new Map<RequestId, Remembered>()
+  const requests = new Map<RequestId, RequestEntry>()
   let bytes = 0
   let forgotten = 0
 
-  function remember (key: RequestKey): Remembered {
-    const known = requests.get(key.id)
-    if (known !== undefined) return known
+  function entryOf (key: RequestKey): RequestEntry {
+    const existing = requests.get(key.id)
+    if (existing !== undefined) return existing
     const created = { key: { id: key.id, organisation: key.organisation, class: key.class }, facts: [], dropped: 0, bytes: REQUEST_BYTES }
     requests.set(key.id, created)
     bytes += REQUEST_BYTES
     return created
   }
 
-  function forgetOldest (): void {
+  function evictOldest (): void {
     for (const [id, oldest] of requests) {
       if (bytes <= options.bytes) return
       requests.delete(id)
@@ -54,43 +59,43 @@
     }
   }
 
-  function add (remembered: Remembered, timed: TimedFact): void {
-    if (remembered.facts.length >= MOST_FACTS) dropMiddle(remembered)
-    remembered.facts.push(timed)
-    grow(remembered, sizeOf(timed.fact))
+  function appendFact (entry: RequestEntry, timed: TimedFact): void {
+    if (entry.facts.length >= MAX_FACTS) dropMiddle(entry)
+    entry.facts.push(timed)
+    adjustSize(entry, estimatedBytes(timed.fact))
   }
 
-  function dropMiddle (remembered: Remembered): void {
-    const [removed] = remembered.facts.splice(MOST_FACTS - LAST_FACTS, 1)
+  function dropMiddle (entry: RequestEntry): void {
+    const [removed] = entry.facts.splice(MAX_FACTS - KEPT_LAST_FACTS, 1)
     if (removed === undefined) return
-    remembered.dropped += 1
-    grow(remembered, -sizeOf(removed.fact))
+    entry.dropped += 1
+    adjustSize(entry, -estimatedBytes(removed.fact))
   }
 
-  function grow (remembered: Remembered, change: number): void {
-    remembered.bytes += change
+  function adjustSize (entry: RequestEntry, change: number): void {
+    entry.bytes += change
     bytes += change
   }
 
   return {
     record: (request, at, fact) => {
-      add(remember(request), { at, fact: shortened(fact) })
-      forgetOldest()
+      appendFact(entryOf(request), { at, fact: truncateMessage(fact) })
+      evictOldest()
     },
     explain: (id) => {
-      const known = requests.get(id)
-      return known && { key: known.key, facts: [...known.facts], dropped: known.dropped }
+      const entry = requests.get(id)
+      return entry && { key: entry.key, facts: [...entry.facts], dropped: entry.dropped }
     },
     usage: () => ({ bytes, forgotten })
   }
 }
 
-function shortened (fact: Fact): Fact {
-  if (fact.kind !== 'attempt-failed' || fact.message.length <= LONGEST_TEXT) return fact
-  return { ...fact, message: fact.message.slice(0, LONGEST_TEXT) }
+function truncateMessage (fact: Fact): Fact {
+  if (fact.kind !== 'attempt-failed' || fact.message.length <= MAX_TEXT_LENGTH) return fact
+  return { ...fact, message: fact.message.slice(0, MAX_TEXT_LENGTH) }
 }
 
-function sizeOf (fact: Fact): number {
+function estimatedBytes (fact: Fact): number {
   const texts = Object.values(fact).filter((value) => typeof value === 'string')
   return FACT_BYTES + texts.reduce((sum, text) => sum + text.length * BYTES_PER_CHARACTER, 0)
 }
--- a/src/report/fact.ts
+++ b/src/report/fact.ts
@@ -1,11 +1,11 @@
-/** One fact in the life of a request, as it is remembered and told to peers and operators. */
+/** Facts: events in the processing of a request, recorded for explanations to operators and exchanged between nodes. */
 import * as z from 'zod'
 import { classNameSchema, organisationNameSchema, requestIdSchema, upstreamNameSchema } from '../identifiers.js'
 import type { Outcome } from '../request/index.js'
 
 const verdictSchema = z.enum(['not-run', 'may-have-run', 'ran'])
 
-/** How a request ended; the schema of {@link Outcome}. */
+/** Schema of {@link Outcome}: how a request ended. */
 export const outcomeSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('served'), finish: z.enum(['stop', 'length']), late: z.boolean() }),
   z.object({ kind: z.literal('refused'), code: z.string() }),
@@ -13,7 +13,7 @@
   z.object({ kind: z.literal('unknown') })
 ]) satisfies z.ZodType<Outcome>
 
-/** What may happen to a request. */
+/** Schema of a fact. */
 export const factSchema = z.discriminatedUnion('kind', [
   z.object({ kind: z.literal('accepted') }),
   z.object({ kind: z.literal('refused'), code: z.string(), retryAfter: z.number() }),
@@ -26,12 +26,13 @@
   z.object({ kind: z.literal('attached'), offset: z.number() }),
   z.object({ kind: z.literal('ended'), outcome: outcomeSchema })
 ])
-/** One fact in the life of a request. */
+/** One event in the processing of a request. */
 export type Fact = z.infer<typeof factSchema>
 
-/** What one node remembers about a request, as it travels. */
+/** Facts that one node holds about a request, as they are sent to other nodes. */
 export const requestFactsSchema = z.object({
   key: z.object({ id: requestIdSchema, organisation: organisationNameSchema, class: classNameSchema }),
   facts: z.array(z.object({ at: z.number(), fact: factSchema })),
+  /** Number of facts that were dropped to bound memory. */
   dropped: z.number().int().nonnegative()
 })
--- a/src/report/keys.ts
+++ b/src/report/keys.ts
@@ -1,66 +1,67 @@
-/** Where reports lie in the key-value service. */
+/** Keys of reports in the key-value service. */
 import type { Milliseconds } from '../clock.js'
 import type { Incarnation } from '../identifiers.js'
 import { snapshotName } from './snapshot.js'
 import type { TotalKey } from './total.js'
 
-const NODES = 'hornbeamgap/reports/nodes/'
-const TOTALS = 'hornbeamgap/reports/totals/'
+const NODES_PREFIX = 'hornbeamgap/reports/nodes/'
+const TOTALS_PREFIX = 'hornbeamgap/reports/totals/'
 
 /**
- * Nodes' reports are spread over so many prefixes, so that a reader of a large fleet never asks for
- * all of them in one answer. All epochs of an incarnation lie under one prefix.
+ * Number of key prefixes over which the snapshots of the nodes are distributed, so that a reader in a large fleet never
+ * requests all snapshots in one response. All epochs of an incarnation are stored under the same prefix.
  */
 export const SHARDS = 64
 
 const SHARD_DIGITS = 2
 
-const HASH_START = 0x811c9dc5
-const HASH_FACTOR = 0x01000193
+/** Parameters of the 32-bit FNV-1a hash. */
+const FNV_OFFSET_BASIS = 0x811c9dc5
+const FNV_PRIME = 0x01000193
 
 /**
- * Prefix of one shard of the nodes' reports.
+ * Returns the key prefix of one shard of the snapshots.
  *
  * @param shard 0 to {@link SHARDS} - 1
  * @example
  * const listing = await keyValue.list(shardPrefix(0), signal)
  */
 export function shardPrefix (shard: number): string {
-  return `${NODES}${String(shard).padStart(SHARD_DIGITS, '0')}/`
+  return `${NODES_PREFIX}${String(shard).padStart(SHARD_DIGITS, '0')}/`
 }
 
 /**
- * Key of the report of one epoch of a node.
+ * Returns the key of the snapshot of one epoch.
  *
  * @example
  * snapshotKey({ incarnation, epoch: 1 })
  */
 export function snapshotKey (snapshot: { incarnation: Incarnation, epoch: number }): string {
-  return shardOf(snapshot.incarnation) + snapshotName(snapshot)
+  return shardPrefixOf(snapshot.incarnation) + snapshotName(snapshot)
 }
 
 /**
- * Prefix of the reports of all epochs of one incarnation.
+ * Returns the key prefix of the snapshots of all epochs of one incarnation.
  *
  * @example
  * const listing = await keyValue.list(incarnationPrefix(incarnation), signal)
  */
 export function incarnationPrefix (incarnation: Incarnation): string {
-  return `${shardOf(incarnation)}${incarnation}.`
+  return `${shardPrefixOf(incarnation)}${incarnation}.`
 }
 
 /**
- * Prefix of all parts of a period's total.
+ * Returns the key prefix of all parts of the total of one period.
  *
  * @example
  * periodPrefix(0) // 'hornbeamgap/reports/totals/1970-01-01T00/'
  */
 export function periodPrefix (period: Milliseconds): string {
-  return `${TOTALS}${new Date(period).toISOString().slice(0, 13)}/`
+  return `${TOTALS_PREFIX}${new Date(period).toISOString().slice(0, 13)}/`
 }
 
 /**
- * Key of one part of a period's total.
+ * Returns the key of one part of the total of one period.
  *
  * @example
  * totalKey({ period, part: 'booking' })
@@ -69,15 +70,15 @@
   return periodPrefix(key.period) + key.part
 }
 
-function shardOf (incarnation: Incarnation): string {
-  return shardPrefix(hash(incarnation) % SHARDS)
+function shardPrefixOf (incarnation: Incarnation): string {
+  return shardPrefix(fnv1a(incarnation) % SHARDS)
 }
 
-/** FNV-1a: spreads names that differ in a few characters. */
-function hash (text: string): number {
-  let value = HASH_START
+/** 32-bit FNV-1a hash, which distributes names well even if they differ only in a few characters. */
+function fnv1a (text: string): number {
+  let value = FNV_OFFSET_BASIS
   for (let index = 0; index < text.length; index += 1) {
-    value = Math.imul(value ^ text.charCodeAt(index), HASH_FACTOR) >>> 0
+    value = Math.imul(value ^ text.charCodeAt(index), FNV_PRIME) >>> 0
   }
   return value
 }
--- a/src/report/latency.ts
+++ b/src/report/latency.ts
@@ -1,46 +1,47 @@
 /**
- * Latency histograms. They are recorded in tenths of a millisecond with two significant digits, merge
- * by addition, and travel in the compressed form that HdrHistogram defines.
+ * Latency histograms. Durations are recorded in tenths of a millisecond with two significant digits. Histograms are
+ * merged by addition and stored in the compressed encoding of HdrHistogram.
  */
 import { build, decodeFromCompressedBase64, encodeIntoCompressedBase64 } from 'hdr-histogram-js'
 import type { Histogram } from 'hdr-histogram-js'
 import type { Milliseconds } from '../clock.js'
 
-/** What is measured of an answer. */
+/** Latencies measured for each answer. */
 export const LATENCY_KINDS = ['firstToken', 'betweenTokens', 'wholeAnswer'] as const
 export type LatencyKind = typeof LATENCY_KINDS[number]
 
-/** Histograms of one class and organisation; none where nothing was recorded. */
+/** Histograms of one class and organisation. A histogram is missing if nothing was recorded. */
 export type Latencies = Partial<Record<LatencyKind, Histogram>>
 
-/** The same, encoded. */
+/** Encoded histograms, base64 of the compressed form. */
 export type EncodedLatencies = { [kind in LatencyKind]?: string | undefined }
 
+/** Resolution of the histograms. */
 const UNITS_PER_MILLISECOND = 10
 const SIGNIFICANT_DIGITS = 2
 
-/** 32-bit buckets: the packed form needs a seventh of the memory and forty times the processor time. */
+/** 32-bit buckets. Packed histograms would need a seventh of the memory but forty times the processor time. */
 const BUCKET_BITS = 32
 
-/** Longer answers are recorded as this long, so that one stuck clock cannot grow the histogram. */
-const LONGEST: Milliseconds = 86_400_000
+/** Longer durations are recorded as this one, so that a faulty clock cannot make the histogram grow without bound. */
+const MAX_DURATION: Milliseconds = 86_400_000
 
 /**
- * Adds one duration.
+ * Records one duration. Non-finite durations are ignored.
  *
  * @example
  * recordLatency(latencies, 'firstToken', 412)
  */
 export function recordLatency (latencies: Latencies, kind: LatencyKind, duration: Milliseconds): void {
   if (!Number.isFinite(duration)) return
-  const bounded = Math.min(Math.max(duration, 0), LONGEST)
+  const bounded = Math.min(Math.max(duration, 0), MAX_DURATION)
   const histogram = latencies[kind] ?? createHistogram()
   histogram.recordValue(Math.round(bounded * UNITS_PER_MILLISECOND))
   latencies[kind] = histogram
 }
 
 /**
- * Adds histograms to others in place.
+ * Adds histograms to `sum` in place.
  *
  * @example
  * addLatencies(sum, decodeLatencies(cell.latency))
@@ -55,20 +56,21 @@
 }
 
 /**
- * Takes histograms that were added before out again, in place.
+ * Subtracts histograms that were added before from `sum`, in place.
  *
  * @example
  * subtractLatencies(recorded, decodeLatencies(alreadyFolded))
  */
-export function subtractLatencies (sum: Latencies, taken: Latencies): void {
+export function subtractLatencies (sum: Latencies, subtracted: Latencies): void {
   for (const kind of LATENCY_KINDS) {
-    const histogram = taken[kind]
+    const histogram = subtracted[kind]
     if (histogram !== undefined) sum[kind]?.subtract(histogram)
   }
 }
 
 /**
- * @returns texts of the histograms that hold anything
+ * Encodes the histograms that contain values.
+ *
  * @example
  * const { firstToken } = encodeLatencies(latencies)
  */
@@ -82,7 +84,9 @@
 }
 
 /**
- * @throws Error when a text is not a histogram
+ * Decodes histograms.
+ *
+ * @throws Error if a text is not an encoded histogram
  * @example
  * const latencies = decodeLatencies(cell.latency)
  */
@@ -99,10 +103,10 @@
 }
 
 /**
- * Duration that a share of the recorded ones do not exceed.
+ * Computes a quantile: the duration that the given fraction of the recorded ones do not exceed.
  *
- * @param share in (0, 1]
- * @returns milliseconds, or undefined when nothing was recorded
+ * @param share fraction in (0, 1]
+ * @returns milliseconds, or undefined if nothing was recorded
  * @example
  * quantile(latencies, 'firstToken', 0.95) // 530
  */
@@ -113,7 +117,7 @@
 }
 
 /**
- * Number of recorded durations.
+ * Returns the number of recorded durations.
  *
  * @example
  * recordedCount(latencies, 'wholeAnswer') // 1200
--- a/src/report/ledger.ts
+++ b/src/report/ledger.ts
@@ -1,67 +1,74 @@
 /**
- * The ledger of one node. It counts in epochs: a closed epoch never changes again, so that its counts
- * can be folded into the totals while the next one goes on.
+ * The ledger of one node, which counts requests for the reports. Counting is divided into epochs. A closed epoch never
+ * changes again, so its counts can be folded into the totals while the node counts in the next epoch.
  */
 import type { Milliseconds } from '../clock.js'
 import type { RequestId, ServiceName } from '../identifiers.js'
 import type { DeadHomeCounts, Outcome, RequestKey, RequestTimes } from '../request/index.js'
 import type { Counts } from './counts.js'
-import { deathNotesOf } from './death.js'
-import type { DeathNote } from './death.js'
+import { deathRecordsOf } from './death.js'
+import type { DeathRecord } from './death.js'
 import { recordLatency } from './latency.js'
-import { addRefusals, addWritten, createTally, periodOf, subtractWritten, writeTally } from './tally.js'
-import type { Cell, CellKey, Tally, WrittenCell } from './tally.js'
+import { addEncodedCells, addRefusals, createTally, encodeTally, periodOf, subtractEncodedCells } from './tally.js'
+import type { Cell, CellKey, EncodedCell, Tally } from './tally.js'
 import type { Ledger, WorkDone } from './types.js'
 
-/** Requests that are open in a cell. */
+/** Number of open requests of one cell. */
 export interface OpenCount extends CellKey {
   readonly open: number
 }
 
-/** Money spent for a service in a period, in the cloud's currency. */
+/** Cost of the instances of a service in a period, in the currency of the cloud provider. */
 export interface Spend {
   readonly period: Milliseconds
   readonly service: ServiceName
   readonly amount: number
 }
 
-/** What was counted in one epoch, and what is open at this moment. */
+/** Counts of one epoch, and the requests that are open now. */
 export interface EpochCounts {
-  /** 1 for the first. */
+  /** Number of the epoch, starting at 1. */
   readonly epoch: number
-  /** Wall time of its first moment. */
+  /** Wall time of the start of the epoch. */
   readonly since: Milliseconds
-  readonly cells: readonly WrittenCell[]
+  readonly cells: readonly EncodedCell[]
   readonly open: readonly OpenCount[]
   readonly spend: readonly Spend[]
-  /** What this node's notes tell of nodes that died. */
-  readonly deaths: readonly DeathNote[]
+  /** What this node noted about the requests of nodes that died. */
+  readonly deaths: readonly DeathRecord[]
 }
 
-/** A ledger that can be read, and whose epochs can be closed. */
+/** Ledger with access to its counts and control over its epochs. */
 export interface CountingLedger extends Ledger {
-  /** Adds what a service's instances cost. */
+  /** Adds to the cost of the instances of a service. */
   spent (service: ServiceName, amount: number): void
-  /** What was open at a node that died; a remark on what is counted elsewhere. */
-  died (account: DeadHomeCounts): void
-  /** Wall time of the running epoch's first moment. */
+  /** Records what became of the requests of a node that died. It adds nothing to the counts of requests. */
+  nodeDied (account: DeadHomeCounts): void
+  /** Wall time of the start of the current epoch. */
   since (): Milliseconds
-  /** Counts of the running epoch. */
+  /** Returns the counts of the current epoch. */
   snapshot (): EpochCounts
-  /** Ends the running epoch and returns its counts, which are final. */
+  /** Closes the current epoch, starts the next one, and returns the final counts of the closed epoch. */
   closeEpoch (): EpochCounts
   /**
-   * Moves the part of a closed epoch that was not folded into the running one.
+   * Adds the counts of a closed epoch that were not folded into a total to the current epoch. Needed when the node was
+   * given up while it was alive, so that only an earlier snapshot of the epoch was folded.
    *
-   * @param folded what was folded of it, with its open requests counted as abandoned
+   * @param closed final counts of the epoch
+   * @param folded counts of the snapshot that was folded. Its open requests were counted as abandoned.
    */
-  carry (closed: EpochCounts, folded: EpochCounts): void
-  /** Open requests, and events for requests that were not open; the latter should stay 0. */
-  usage (): { open: number, strays: number, cells: number }
+  carryOver (closed: EpochCounts, folded: EpochCounts): void
+  /**
+   * Number of open requests, of events that did not match the state of their request, and of cells. Unmatched events,
+   * such as a second acceptance of an open request or the end of a request that is not open, should not occur.
+   */
+  usage (): { open: number, unmatchedEvents: number, cells: number }
 }
 
 /**
- * @param options `wall`: wall clock; a request belongs to the hour in which it was accepted
+ * Creates an empty ledger.
+ *
+ * @param options `wall`: wall clock, which determines the period of each request
  * @example
  * const ledger = createLedger({ wall: clock.wall })
  * ledger.accepted(request)
@@ -73,12 +80,13 @@
   let since = wall()
   let tally = createTally()
   let spend = new Map<string, Spend>()
-  let deaths: DeathNote[] = []
-  let strays = 0
+  let deaths: DeathRecord[] = []
+  let unmatchedEvents = 0
 
-  function enter (request: RequestKey, period: Milliseconds): Cell | undefined {
+  /** Adds an open request and returns its cell. Returns undefined if the request is open already. */
+  function addOpen (request: RequestKey, period: Milliseconds): Cell | undefined {
     if (open.has(request.id)) {
-      strays += 1
+      unmatchedEvents += 1
       return undefined
     }
     const cell = tally.cell({ period, class: request.class, organisation: request.organisation })
@@ -86,11 +94,14 @@
     return cell
   }
 
-  /** The request's cell in the running epoch, which may be a later one than that of its acceptance. */
-  function leave (request: RequestKey): Cell | undefined {
+  /**
+   * Removes an open request and returns its cell in the current epoch, which may be later than the epoch of its
+   * acceptance. Returns undefined if the request is not open.
+   */
+  function removeOpen (request: RequestKey): Cell | undefined {
     const key = open.get(request.id)
     if (key === undefined) {
-      strays += 1
+      unmatchedEvents += 1
       return undefined
     }
     open.delete(request.id)
@@ -103,12 +114,12 @@
   }
 
   function snapshot (): EpochCounts {
-    return { epoch, since, cells: writeTally(tally), open: countOpen(open.values()), spend: [...spend.values()], deaths: [...deaths] }
+    return { epoch, since, cells: encodeTally(tally), open: countOpen(open.values()), spend: [...spend.values()], deaths: [...deaths] }
   }
 
   return {
     accepted: (request) => {
-      const cell = enter(request, periodOf(wall()))
+      const cell = addOpen(request, periodOf(wall()))
       if (cell !== undefined) cell.counts.accepted += 1
     },
     refused: (organisation, requestClass, code) => {
@@ -117,22 +128,22 @@
       addRefusals(cell.refusals, code, 1)
     },
     ended: (request, outcome, times, work) => {
-      const cell = leave(request)
+      const cell = removeOpen(request)
       if (cell === undefined) return
       countOutcome(cell, outcome)
       countWork(cell.counts, work)
       if (outcome.kind === 'served') recordTimes(cell, times, work)
     },
     handedOver: (request) => {
-      const cell = leave(request)
+      const cell = removeOpen(request)
       if (cell !== undefined) cell.counts.handedOver += 1
     },
     takenOver: (request, acceptedAtWall) => {
-      const cell = enter(request, periodOf(acceptedAtWall ?? wall()))
+      const cell = addOpen(request, periodOf(acceptedAtWall ?? wall()))
       if (cell !== undefined) cell.counts.takenOver += 1
     },
     spent: (service, amount) => addSpend(periodOf(wall()), service, amount),
-    died: (account) => { deaths.push(...deathNotesOf(account, periodOf(wall()))) },
+    nodeDied: (account) => { deaths.push(...deathRecordsOf(account, periodOf(wall()))) },
     since: () => since,
     snapshot,
     closeEpoch: () => {
@@ -144,17 +155,17 @@
       deaths = []
       return closed
     },
-    carry: (closed, folded) => {
-      addWritten(tally, closed.cells)
-      subtractWritten(tally, folded.cells)
-      // The folder counted these as abandoned, and they are not: this node lives and counts their ends.
-      for (const one of folded.open) tally.cell(one).counts.abandoned -= one.open
-      // Notes are only appended, so those that were folded are the first ones.
+    carryOver: (closed, folded) => {
+      addEncodedCells(tally, closed.cells)
+      subtractEncodedCells(tally, folded.cells)
+      // The fold counted these requests as abandoned. This node is alive and counts their ends, so reverse the count.
+      for (const openCount of folded.open) tally.cell(openCount).counts.abandoned -= openCount.open
+      // Death records are only appended, so the folded ones are at the start.
       deaths.push(...closed.deaths.slice(folded.deaths.length))
-      for (const one of closed.spend) addSpend(one.period, one.service, one.amount)
-      for (const one of folded.spend) addSpend(one.period, one.service, -one.amount)
+      for (const item of closed.spend) addSpend(item.period, item.service, item.amount)
+      for (const item of folded.spend) addSpend(item.period, item.service, -item.amount)
     },
-    usage: () => ({ open: open.size, strays, cells: tally.size() })
+    usage: () => ({ open: open.size, unmatchedEvents, cells: tally.size() })
   }
 }
 
--- a/src/report/line.ts
+++ b/src/report/line.ts
@@ -1,4 +1,4 @@
-/** One line of a report: what a class, an organisation or both together got. */
+/** Lines of a report: the results of one class, one organisation, or one combination of both. */
 import type { RequestClass } from '../configuration/index.js'
 import type { ClassName, OrganisationName } from '../identifiers.js'
 import type { LatencySummary, ReportLine, RequestSums, Share } from './document.js'
@@ -8,8 +8,8 @@
 import { addRefusals } from './tally.js'
 import type { Cell } from './tally.js'
 
-/** What a line is about, and what it has summed up so far. */
-export interface OpenLine {
+/** Builder of a report line. It accumulates the counts of cells. */
+export interface LineBuilder {
   readonly requestClass: RequestClass | undefined
   readonly class: ClassName | undefined
   readonly organisation: OrganisationName | undefined
@@ -17,24 +17,28 @@
   readonly refusals: Map<string, number>
   readonly latencies: Latencies
   tokens: { generated: number, recomputed: number }
-  /** Spend allocated to it; undefined while none is known. */
+  /** Allocated spend. Undefined if no spend was allocated. */
   cost: number | undefined
+  /** Adds the counts of a cell. Latencies are added only if the line belongs to a class. */
   add (cell: Cell): void
 }
 
-/** Quantile that is shown where no target names one. */
+/** Quantile that is reported if the class has no target. */
 const DEFAULT_QUANTILE = 0.95
 
 const MEDIAN = 0.5
 const THOUSAND = 1_000
 
 /**
+ * Creates a builder without any counts.
+ *
+ * @param about class and organisation of the line. Missing ones are summed over.
  * @example
- * const line = createLine({ class: name, requestClass })
+ * const line = createLineBuilder({ class: name, requestClass })
  * line.add(cell)
  */
-export function createLine (about: { requestClass?: RequestClass | undefined, class?: ClassName, organisation?: OrganisationName }): OpenLine {
-  const line: OpenLine = {
+export function createLineBuilder (about: { requestClass?: RequestClass | undefined, class?: ClassName, organisation?: OrganisationName }): LineBuilder {
+  const line: LineBuilder = {
     requestClass: about.requestClass,
     class: about.class,
     organisation: about.organisation,
@@ -57,12 +61,12 @@
 }
 
 /**
- * The line as it is reported.
+ * Builds the line of the report document.
  *
  * @example
- * const reported = finishLine(line)
+ * const reportLine = buildLine(line)
  */
-export function finishLine (line: OpenLine): ReportLine {
+export function buildLine (line: LineBuilder): ReportLine {
   const { sums, requestClass, tokens } = line
   const target = requestClass?.target
   const answered = sums.served + sums.late
@@ -73,31 +77,31 @@
     ...(requestClass === undefined ? {} : { service: requestClass.service }),
     sums,
     refusals: Object.fromEntries([...line.refusals].filter(([, count]) => count !== 0)),
-    reliability: share(answered, ended, target?.reliability),
-    inTime: share(sums.served, answered, target?.quantile),
-    ...latency(line, 'firstToken', target?.first_token_ms),
-    ...latency(line, 'betweenTokens', target?.between_tokens_ms),
-    ...latency(line, 'wholeAnswer', target?.whole_answer_ms),
+    reliability: achievedShare(answered, ended, target?.reliability),
+    inTime: achievedShare(sums.served, answered, target?.quantile),
+    ...latencySummary(line, 'firstToken', target?.first_token_ms),
+    ...latencySummary(line, 'betweenTokens', target?.between_tokens_ms),
+    ...latencySummary(line, 'wholeAnswer', target?.whole_answer_ms),
     generatedTokens: tokens.generated,
     recomputedTokens: tokens.recomputed,
     ...(line.cost === undefined ? {} : costOf(line.cost, sums.served))
   }
 }
 
-function share (part: number, whole: number, target: number | undefined): Share {
+function achievedShare (part: number, whole: number, target: number | undefined): Share {
   return {
     ...(whole > 0 ? { achieved: part / whole } : {}),
     ...(target === undefined ? {} : { target })
   }
 }
 
-function latency (line: OpenLine, kind: LatencyKind, target: number | undefined): { [kind in LatencyKind]?: LatencySummary } {
-  const share = line.requestClass?.target.quantile ?? DEFAULT_QUANTILE
-  const achieved = quantile(line.latencies, kind, share)
+function latencySummary (line: LineBuilder, kind: LatencyKind, target: number | undefined): { [kind in LatencyKind]?: LatencySummary } {
+  const targetQuantile = line.requestClass?.target.quantile ?? DEFAULT_QUANTILE
+  const achieved = quantile(line.latencies, kind, targetQuantile)
   const median = quantile(line.latencies, kind, MEDIAN)
   if (achieved === undefined || median === undefined) return {}
   const count = recordedCount(line.latencies, kind)
-  return { [kind]: { count, median, quantile: share, achieved, ...(target === undefined ? {} : { target }) } }
+  return { [kind]: { count, median, quantile: targetQuantile, achieved, ...(target === undefined ? {} : { target }) } }
 }
 
 function costOf (cost: number, inTime: number): Pick<ReportLine, 'cost' | 'costPerThousandInTime'> {
--- a/src/report/snapshot.ts
+++ b/src/report/snapshot.ts
@@ -1,28 +1,28 @@
 /**
- * A node's report as it lies in the key-value service: cumulative counts of one epoch of one
- * incarnation. A later sequence number replaces an earlier one, so a lost reply or a second write of
- * the same snapshot changes nothing.
+ * Snapshots: the reports of nodes as they are stored in the key-value service. A snapshot contains the cumulative
+ * counts of one epoch of one incarnation. Each snapshot replaces the one with the previous sequence number, so a lost
+ * response or a repeated write of the same snapshot does not change the counts.
  */
 import * as z from 'zod'
 import type { Milliseconds } from '../clock.js'
 import { classNameSchema, incarnationSchema, instanceNameSchema, organisationNameSchema, serviceNameSchema } from '../identifiers.js'
 import type { Incarnation, InstanceName } from '../identifiers.js'
 import { readJson } from '../json.js'
-import { deathNoteSchema } from './death.js'
+import { deathRecordSchema } from './death.js'
 import type { EpochCounts } from './ledger.js'
 import { cellSchema } from './tally.js'
 
-/** Most bytes of a value; the key-value service takes a megabyte. */
-export const LARGEST_SNAPSHOT = 900_000
+/** Maximum size of an encoded snapshot, in bytes. The key-value service accepts values up to one megabyte. */
+export const MAX_SNAPSHOT_BYTES = 900_000
 
 /**
- * Where an epoch stands.
+ * State of an epoch.
  *
- * - `counting`: the node goes on writing.
- * - `closed`: the node closed the epoch and counts on in the next one.
- * - `final`: the node stopped as planned; nothing follows.
- * - `given-up`: the folder closed it, since the node is gone. A node that lives sees this at its next
- *   write and counts on in a new epoch.
+ * - `counting`: the node is still counting in this epoch.
+ * - `closed`: the node closed the epoch and continues in the next one.
+ * - `final`: the node has stopped as planned. No further epoch follows.
+ * - `given-up`: the planner closed the epoch because the node appeared to be gone. If the node is alive after all, its
+ *   next write detects this state, and it continues in a new epoch.
  */
 export const snapshotStateSchema = z.discriminatedUnion('kind', [
   z.strictObject({ kind: z.literal('counting') }),
@@ -32,7 +32,7 @@
 ])
 export type SnapshotState = z.infer<typeof snapshotStateSchema>
 
-/** Money spent on one service in one period. */
+/** Stored form of the spend on one service in one period. */
 export const spendSchema = z.strictObject({
   period: z.number().int().nonnegative(),
   service: serviceNameSchema,
@@ -46,34 +46,36 @@
   open: z.number().int().nonnegative()
 })
 
-/** A snapshot as it is written. */
+/** Stored form of a snapshot. */
 export const snapshotSchema = z.strictObject({
   format: z.literal(1),
   incarnation: incarnationSchema,
   instance: instanceNameSchema,
   epoch: z.number().int().positive(),
-  /** Rises with each snapshot of the incarnation. */
+  /** Increases with each snapshot of the incarnation. */
   sequence: z.number().int().positive(),
-  /** Wall time of the epoch's first moment. */
+  /** Wall time of the start of the epoch. */
   since: z.number(),
-  /** Wall time of the last event that is counted in. */
+  /** Wall time up to which events are counted. */
   writtenAt: z.number(),
-  /** The next snapshot follows within this time while the node lives, in milliseconds. */
+  /** Maximum time until the next snapshot while the node is alive, in milliseconds. */
   nextWithin: z.number().positive(),
   state: snapshotStateSchema,
-  /** Epoch of this incarnation that was given up although the node lived, and where its gap is kept. */
+  /**
+   * Epoch of this incarnation that was given up although the node was alive, and the period whose total stores its gap.
+   */
   returned: z.strictObject({ epoch: z.number().int().positive(), period: z.number().int() }).optional(),
-  /** Histograms were left out to keep the value within its bound. */
+  /** Whether histograms were omitted to keep the snapshot within its maximum size. */
   latencyOmitted: z.boolean().default(false),
   cells: z.array(cellSchema),
   open: z.array(openCountSchema),
   spend: z.array(spendSchema),
-  deaths: z.array(deathNoteSchema).default([])
+  deaths: z.array(deathRecordSchema).default([])
 })
 export type Snapshot = z.infer<typeof snapshotSchema>
 
-/** What a snapshot says beside the counts. */
-export interface SnapshotHead {
+/** Fields of a snapshot other than the counts. */
+export interface SnapshotHeader {
   readonly incarnation: Incarnation
   readonly instance: InstanceName
   readonly sequence: number
@@ -84,7 +86,7 @@
 }
 
 /**
- * Name of an epoch, unique over all time.
+ * Returns the name of an epoch, which is unique across all incarnations.
  *
  * @example
  * snapshotName({ incarnation, epoch: 2 }) // 'entry-1-a1b2.2'
@@ -94,21 +96,24 @@
 }
 
 /**
- * Text of a snapshot, within {@link LARGEST_SNAPSHOT}: counts always, histograms if they fit.
+ * Encodes a snapshot as JSON. If the text exceeds {@link MAX_SNAPSHOT_BYTES}, the histograms are omitted and only the
+ * counts are kept.
  *
  * @example
- * const text = encodeSnapshot(head, ledger.snapshot())
+ * const text = encodeSnapshot(header, ledger.snapshot())
  */
-export function encodeSnapshot (head: SnapshotHead, counts: EpochCounts): string {
-  const snapshot = { format: 1, ...head, ...counts }
+export function encodeSnapshot (header: SnapshotHeader, counts: EpochCounts): string {
+  const snapshot = { format: 1, ...header, ...counts }
   const text = JSON.stringify(snapshot)
-  if (text.length <= LARGEST_SNAPSHOT) return text
+  if (text.length <= MAX_SNAPSHOT_BYTES) return text
   const cells = counts.cells.map((cell) => ({ ...cell, latency: {} }))
   return JSON.stringify({ ...snapshot, cells, latencyOmitted: true })
 }
 
 /**
- * @returns undefined for a text that is no snapshot; such a key is left alone and reported
+ * Decodes a snapshot.
+ *
+ * @returns the snapshot, or undefined if the text is not a valid one
  * @example
  * const snapshot = decodeSnapshot(entry.value)
  */
@@ -117,7 +122,7 @@
 }
 
 /**
- * Whether nothing follows in this epoch, so that it may be folded.
+ * Whether the epoch is complete, so that it may be folded into the totals.
  *
  * @example
  * isClosed({ kind: 'counting' }) // false
@@ -132,10 +137,10 @@
 }
 
 /**
- * Whether the incarnation ended with this epoch, so that what is open in it was left behind.
+ * Whether the incarnation ended with this epoch, so that its open requests are counted as abandoned.
  *
  * @example
- * endsIncarnation({ kind: 'closed' }) // false: it counts on in the next epoch
+ * endsIncarnation({ kind: 'closed' }) // false: the node continues in the next epoch
  */
 export function endsIncarnation (state: SnapshotState): boolean {
   switch (state.kind) {
--- a/src/report/statements.ts
+++ b/src/report/statements.ts
@@ -1,18 +1,20 @@
-/** What a report says in sentences, so that nobody has to infer it from figures. */
+/** Summary of a report in sentences, so that readers need not infer the conclusions from the figures. */
 import type { LatencySummary, ReportDocument, ReportGap, ReportLine, RequestSums } from './document.js'
-import { agrees } from './sums.js'
+import { sumsAgree } from './sums.js'
 import { countText, durationText, moneyText, percentText, refusalText, requestsText, timeText } from './wording.js'
 
 const THOUSAND = 1_000
 
-/** Ways to tell which node a sentence is about. */
+/** Options of {@link statementsOf}. */
 export interface StatementOptions {
-  /** Organisations are told of gaps, and not of instances. */
+  /** Whether sentences name the nodes. Reports for organisations mention gaps but no instances. */
   readonly namesNodes: boolean
 }
 
 /**
- * @param document all but its statements
+ * Summarises a report in sentences.
+ *
+ * @param document complete report, except for its statements
  * @example
  * const sentences = statementsOf(document)
  */
@@ -27,12 +29,13 @@
 }
 
 /**
- * Whether a target was met; undefined when nothing was measured or no target is set.
+ * Whether a latency target was met.
  *
+ * @returns undefined if nothing was measured or no target is set
  * @example
- * meets(line.firstToken) // true
+ * meetsTarget(line.firstToken) // true
  */
-export function meets (latency: LatencySummary | undefined): boolean | undefined {
+export function meetsTarget (latency: LatencySummary | undefined): boolean | undefined {
   if (latency?.target === undefined) return undefined
   return latency.achieved <= latency.target
 }
@@ -56,9 +59,9 @@
 }
 
 function agreementStatement ({ total, classes, lines, organisations }: ReportDocument): string {
-  const wrong = [total, ...classes, ...lines, ...organisations].filter((line) => !agrees(line.sums))
-  if (wrong.length === 0) return 'The sums agree for every class and organisation: accepted + refused = served + late + refused + lost + unknown + open.'
-  return `THE SUMS DO NOT AGREE in ${wrong.length} lines; this report must not be relied on.`
+  const inconsistent = [total, ...classes, ...lines, ...organisations].filter((line) => !sumsAgree(line.sums))
+  if (inconsistent.length === 0) return 'The sums agree for every class and organisation: accepted + refused = served + late + refused + lost + unknown + open.'
+  return `THE SUMS DO NOT AGREE in ${inconsistent.length} lines; this report must not be relied on.`
 }
 
 function classStatements (line: ReportLine): string[] {
@@ -123,9 +126,9 @@
 }
 
 function costStatement ({ total, targets, spendUnallocated }: ReportDocument, spend: number): string {
-  const each = total.costPerThousandInTime
-  const target = targets === undefined || each === undefined ? '' : `, target ${moneyText(targets.costPerThousandAnswers)} ${each <= targets.costPerThousandAnswers ? 'met' : 'MISSED'}`
-  const unit = each === undefined ? '' : `: ${moneyText(each)} for each 1,000 answers within target${target}`
+  const costPerThousand = total.costPerThousandInTime
+  const target = targets === undefined || costPerThousand === undefined ? '' : `, target ${moneyText(targets.costPerThousandAnswers)} ${costPerThousand <= targets.costPerThousandAnswers ? 'met' : 'MISSED'}`
+  const unit = costPerThousand === undefined ? '' : `: ${moneyText(costPerThousand)} for each 1,000 answers within target${target}`
   const idle = spendUnallocated === undefined || spendUnallocated === 0 ? '' : `; ${moneyText(spendUnallocated)} of it for services that answered nothing`
   return `Instances cost ${moneyText(spend)}${unit}${idle}.`
 }
@@ -133,7 +136,7 @@
 function completenessStatements (document: ReportDocument, options: StatementOptions): string[] {
   const { from, madeAt, keptFrom, countedUntil, nodesCounting, gaps, overdue, latencyOmitted } = document
   const statements = gaps.map((gap) => gapStatement(gap, options))
-  for (const one of overdue) statements.push(`${nodeText(one, options)} is overdue: it last reported at ${timeText(one.from)}. What it counted since then is not in these figures.`)
+  for (const gap of overdue) statements.push(`${nodeText(gap, options)} is overdue: it last reported at ${timeText(gap.from)}. What it counted since then is not in these figures.`)
   if (nodesCounting > 0 && countedUntil < madeAt) statements.push(`Running nodes report now and then; everything up to ${timeText(countedUntil)} is counted, later requests in part.`)
   if (from < keptFrom) statements.push(`Totals are kept from ${timeText(keptFrom)} on; what was counted before that is deleted and missing here.`)
   if (latencyOmitted.length > 0) statements.push(`Latencies of ${latencyOmitted.length} nodes are missing in part, since their reports were too large; the counts are whole.`)
@@ -147,7 +150,7 @@
 
 function notedText ({ noted }: ReportGap): string {
   if (noted.length === 0) return ''
-  const parts = noted.map((one) => `${one.class} of ${one.organisation}: ${countText(one.resumed)} followed on by another node, ${countText(one.lost)} lost, ${countText(one.unknown)} unknown`)
+  const parts = noted.map((counts) => `${counts.class} of ${counts.organisation}: ${countText(counts.resumed)} followed on by another node, ${countText(counts.lost)} lost, ${countText(counts.unknown)} unknown`)
   return ` Notes at another node tell of requests open there at its end: ${parts.join('; ')}.`
 }
 
--- a/src/report/summary.ts
+++ b/src/report/summary.ts
@@ -1,7 +1,7 @@
 /**
- * Makes a report out of what the nodes wrote and the totals of what was folded. An epoch that is in a
- * total is taken from there and its snapshot is passed over; read the snapshots first and the totals
- * after them, and nothing is missed or counted twice.
+ * Builds a report from the snapshots of the nodes and the totals of folded epochs. If an epoch is part of a total, its
+ * snapshot is ignored. Callers must read the snapshots before the totals: an epoch that is folded and deleted between
+ * the two reads is then found in both, and is counted once. In the opposite order it would be missed.
  */
 import type { Milliseconds } from '../clock.js'
 import type { Configuration, RequestClass } from '../configuration/index.js'
@@ -9,42 +9,45 @@
 import type { ClassName, Incarnation, OrganisationName } from '../identifiers.js'
 import type { PeriodLine, ReportDocument, ReportGap, ReportLine } from './document.js'
 import { allocateSpend } from './cost.js'
-import { sumDeathNotes } from './death.js'
-import type { DeathNote } from './death.js'
-import { createLine, finishLine } from './line.js'
-import type { OpenLine } from './line.js'
+import { sumDeathRecords } from './death.js'
+import type { DeathRecord } from './death.js'
+import { buildLine, createLineBuilder } from './line.js'
+import type { LineBuilder } from './line.js'
 import type { Spend } from './ledger.js'
 import { isClosed, snapshotName } from './snapshot.js'
 import type { Snapshot } from './snapshot.js'
 import { statementsOf } from './statements.js'
 import { addSums, sumsOf, zeroSums } from './sums.js'
-import { addWritten, createTally, PERIOD, periodOf } from './tally.js'
-import type { Cell, WrittenCell } from './tally.js'
+import { addEncodedCells, createTally, PERIOD, periodOf } from './tally.js'
+import type { Cell, EncodedCell } from './tally.js'
 import { cellsOf, COMMON_PART, gapOf } from './total.js'
-import type { Gap, Return, Total } from './total.js'
+import type { Gap, RevokedGap, Total } from './total.js'
 
-/** What a report is about. */
+/** Scope of a report. */
 export interface ReportScope {
-  /** Wall times; rounded outwards to whole periods. */
+  /** Wall times, rounded outwards to whole periods. */
   readonly from: Milliseconds
   readonly to: Milliseconds
   /** Wall time now. */
   readonly now: Milliseconds
+  /** Wall time from which on totals are retained. */
   readonly keptFrom: Milliseconds
   readonly configuration: Configuration | undefined
-  /** Only this organisation's own. */
+  /** Restricts the report to this organisation. */
   readonly organisation?: OrganisationName | undefined
 }
 
-/** A report being put together. */
+/** Builder of a report. */
 export interface ReportSummary {
-  /** To be called for all totals before the first snapshot is added. */
+  /** Adds a total. All totals must be added before the first snapshot, so that folded epochs are recognised. */
   addTotal (total: Total): void
   addSnapshot (snapshot: Snapshot): void
   finish (): ReportDocument
 }
 
 /**
+ * Creates a builder for one report.
+ *
  * @example
  * const summary = createReportSummary(scope)
  * for (const total of totals) summary.addTotal(total)
@@ -57,21 +60,21 @@
   const tally = createTally()
   const folded = new Map<string, ReadonlySet<string>>()
   const gaps: Gap[] = []
-  const returns: Return[] = []
-  const deaths: DeathNote[] = []
+  const returns: RevokedGap[] = []
+  const deaths: DeathRecord[] = []
   const overdue: ReportGap[] = []
-  const omitted: Snapshot['incarnation'][] = []
+  const latencyOmitted: Snapshot['incarnation'][] = []
   const spend: Spend[] = []
   let countedUntil = scope.now
   let nodesCounting = 0
 
-  function inScope (cell: WrittenCell): boolean {
+  function inScope (cell: EncodedCell): boolean {
     if (cell.period < from || cell.period >= to) return false
     return scope.organisation === undefined || cell.organisation === scope.organisation
   }
 
-  function concernsScope (one: DeathNote): boolean {
-    return scope.organisation === undefined || one.organisation === scope.organisation
+  function concernsScope (record: DeathRecord): boolean {
+    return scope.organisation === undefined || record.organisation === scope.organisation
   }
 
   function isFolded (period: Milliseconds, part: string, snapshot: Snapshot): boolean {
@@ -86,55 +89,56 @@
   }
 
   function addCommon (snapshot: Snapshot): void {
-    spend.push(...snapshot.spend.filter((one) => !isFolded(one.period, COMMON_PART, snapshot)))
-    deaths.push(...snapshot.deaths.filter((one) => !isFolded(one.period, COMMON_PART, snapshot)))
+    spend.push(...snapshot.spend.filter((item) => !isFolded(item.period, COMMON_PART, snapshot)))
+    deaths.push(...snapshot.deaths.filter((record) => !isFolded(record.period, COMMON_PART, snapshot)))
     if (snapshot.returned !== undefined) returns.push({ incarnation: snapshot.incarnation, epoch: snapshot.returned.epoch })
     const gap = gapOf(snapshot)
     if (gap !== undefined && !isFolded(periodOf(snapshot.writtenAt), COMMON_PART, snapshot)) gaps.push(gap)
-    if (snapshot.latencyOmitted) omitted.push(snapshot.incarnation)
+    if (snapshot.latencyOmitted) latencyOmitted.push(snapshot.incarnation)
   }
 
   return {
     addTotal: (total) => {
-      folded.set(`${total.period}/${total.part}`, new Set(total.folded.map((one) => one.name)))
-      addWritten(tally, total.cells.filter(inScope))
+      folded.set(`${total.period}/${total.part}`, new Set(total.folded.map((epoch) => epoch.name)))
+      addEncodedCells(tally, total.cells.filter(inScope))
       gaps.push(...total.gaps)
       returns.push(...total.returns)
       deaths.push(...total.deaths)
       spend.push(...total.spend)
-      omitted.push(...total.latencyOmitted)
+      latencyOmitted.push(...total.latencyOmitted)
     },
     addSnapshot: (snapshot) => {
-      addWritten(tally, cellsOf(snapshot).filter((cell) => inScope(cell) && !isFolded(cell.period, cell.class, snapshot)))
+      addEncodedCells(tally, cellsOf(snapshot).filter((cell) => inScope(cell) && !isFolded(cell.period, cell.class, snapshot)))
       addCommon(snapshot)
       if (!isClosed(snapshot.state)) addCounting(snapshot)
     },
-    finish: () => documentOf(scope, {
+    finish: () => buildDocument(scope, {
       from,
       to,
       countedUntil,
       nodesCounting,
       cells: [...tally.cells()],
-      gaps: realGaps(gaps, returns, deaths.filter(concernsScope)).filter((gap) => gap.to > from && gap.from < to),
+      gaps: confirmedGaps(gaps, returns, deaths.filter(concernsScope)).filter((gap) => gap.to > from && gap.from < to),
       overdue,
-      latencyOmitted: [...new Set(omitted)],
-      spend: spend.filter((one) => one.period >= from && one.period < to)
+      latencyOmitted: [...new Set(latencyOmitted)],
+      spend: spend.filter((item) => item.period >= from && item.period < to)
     })
   }
 }
 
-interface Gathered extends Pick<ReportDocument, 'from' | 'to' | 'countedUntil' | 'nodesCounting' | 'gaps' | 'overdue' | 'latencyOmitted'> {
+/** Data gathered for a report document. */
+interface ReportParts extends Pick<ReportDocument, 'from' | 'to' | 'countedUntil' | 'nodesCounting' | 'gaps' | 'overdue' | 'latencyOmitted'> {
   readonly cells: readonly Cell[]
   readonly spend: readonly Spend[]
 }
 
-function documentOf (scope: ReportScope, gathered: Gathered): ReportDocument {
+function buildDocument (scope: ReportScope, reportParts: ReportParts): ReportDocument {
   const { configuration } = scope
-  const { cells, spend, ...rest } = gathered
-  const lines = group(cells, (cell) => `${cell.key.class}/${cell.key.organisation}`, (cell) => createLine({ requestClass: classOf(configuration, cell), class: cell.key.class, organisation: cell.key.organisation }))
-  const classes = group(cells, (cell) => cell.key.class, (cell) => createLine({ requestClass: classOf(configuration, cell), class: cell.key.class }))
-  const organisations = group(cells, (cell) => cell.key.organisation, (cell) => createLine({ organisation: cell.key.organisation }))
-  const total = group(cells, () => '', () => createLine({}))
+  const { cells, spend, ...rest } = reportParts
+  const lines = groupCells(cells, (cell) => `${cell.key.class}/${cell.key.organisation}`, (cell) => createLineBuilder({ requestClass: classOf(configuration, cell), class: cell.key.class, organisation: cell.key.organisation }))
+  const classes = groupCells(cells, (cell) => cell.key.class, (cell) => createLineBuilder({ requestClass: classOf(configuration, cell), class: cell.key.class }))
+  const organisations = groupCells(cells, (cell) => cell.key.organisation, (cell) => createLineBuilder({ organisation: cell.key.organisation }))
+  const total = groupCells(cells, () => '', () => createLineBuilder({}))
   const withCost = scope.organisation === undefined && spend.length > 0
   const cost = withCost ? allocateSpend(spend, { lines, classes, organisations, total }) : undefined
   const document: ReportDocument = {
@@ -143,10 +147,10 @@
     madeAt: scope.now,
     keptFrom: scope.keptFrom,
     ...rest,
-    total: finishLine(total[0] ?? createLine({})),
-    classes: finishLines(classes),
-    organisations: finishLines(organisations),
-    lines: finishLines(lines),
+    total: buildLine(total[0] ?? createLineBuilder({})),
+    classes: buildLines(classes),
+    organisations: buildLines(organisations),
+    lines: buildLines(lines),
     periods: periodLines(cells),
     ...targetsOf(configuration),
     ...cost,
@@ -155,8 +159,8 @@
   return { ...document, statements: statementsOf(document) }
 }
 
-function group (cells: readonly Cell[], nameOf: (cell: Cell) => string, create: (cell: Cell) => OpenLine): OpenLine[] {
-  const lines = new Map<string, OpenLine>()
+function groupCells (cells: readonly Cell[], nameOf: (cell: Cell) => string, create: (cell: Cell) => LineBuilder): LineBuilder[] {
+  const lines = new Map<string, LineBuilder>()
   for (const cell of cells) {
     const name = nameOf(cell)
     const line = lines.get(name) ?? create(cell)
@@ -166,8 +170,8 @@
   return [...lines.entries()].sort(([left], [right]) => left < right ? -1 : 1).map(([, line]) => line)
 }
 
-function finishLines (lines: readonly OpenLine[]): ReportLine[] {
-  return lines.map(finishLine)
+function buildLines (lines: readonly LineBuilder[]): ReportLine[] {
+  return lines.map(buildLine)
 }
 
 function periodLines (cells: readonly Cell[]): PeriodLine[] {
@@ -181,18 +185,18 @@
   return [...lines.values()].sort((left, right) => left.period - right.period || (left.class < right.class ? -1 : 1))
 }
 
-/** A gap of a node that came back is none: it reported what it had counted meanwhile. */
-function realGaps (gaps: readonly Gap[], returns: readonly Return[], deaths: readonly DeathNote[]): ReportGap[] {
+/** Omits the gaps of nodes that turned out to be alive, since these reported the counts later. */
+function confirmedGaps (gaps: readonly Gap[], returns: readonly RevokedGap[], deaths: readonly DeathRecord[]): ReportGap[] {
   const returned = new Set(returns.map(snapshotName))
   return gaps
     .filter((gap) => !returned.has(snapshotName(gap)))
-    .map(({ incarnation, instance, from, to }) => ({ incarnation, instance, from, to, noted: notedOf(incarnation, deaths) }))
+    .map(({ incarnation, instance, from, to }) => ({ incarnation, instance, from, to, noted: deathRecordsOfNode(incarnation, deaths) }))
     .sort((left, right) => left.from - right.from)
 }
 
-function notedOf (incarnation: Incarnation, deaths: readonly DeathNote[]): ReportGap['noted'] {
-  const own = deaths.filter((one) => one.incarnation === incarnation).map((one) => ({ ...one, period: 0 }))
-  return sumDeathNotes(own).map(({ class: name, organisation, resumed, lost, unknown }) => ({ class: name, organisation, resumed, lost, unknown }))
+function deathRecordsOfNode (incarnation: Incarnation, deaths: readonly DeathRecord[]): ReportGap['noted'] {
+  const own = deaths.filter((record) => record.incarnation === incarnation).map((one) => ({ ...one, period: 0 }))
+  return sumDeathRecords(own).map(({ class: name, organisation, resumed, lost, unknown }) => ({ class: name, organisation, resumed, lost, unknown }))
 }
 
 function classOf (configuration: Configuration | undefined, cell: Cell): RequestClass | undefined {
--- a/src/report/sums.ts
+++ b/src/report/sums.ts
@@ -1,21 +1,27 @@
-/** Sums of requests out of counts that come from many nodes, some of them gone. */
+/** Sums of requests over the counts of many nodes, some of which died before they reported everything. */
 import type { RequestSums } from './document.js'
 import type { Counts } from './counts.js'
 import { openOf } from './counts.js'
 
-/** @example const sums = zeroSums() */
+/**
+ * Creates sums that are all zero.
+ *
+ * @example
+ * const sums = zeroSums()
+ */
 export function zeroSums (): RequestSums {
   return { asked: 0, accepted: 0, served: 0, late: 0, refused: 0, lost: 0, unknown: 0, open: 0, unreported: 0 }
 }
 
 /**
- * Sums of one cell, counted over all nodes.
+ * Computes the sums of one cell from its counts over all nodes, so that each request is counted once.
  *
- * A hand-over leaves the giver's counts and enters the taker's. When the giver died before its last
- * word, its stored report still holds the request as open although the taker counts its end; seen
- * from the sum, more was taken over than handed over. That excess first lowers what the giver is said
- * to have abandoned. If it exceeds even what was accepted, the acceptance itself was never
- * reported, and it is added: the taker proves it. So each request counts once.
+ * A hand-over moves a request from the counts of one node to those of another, its successor. If the first node died
+ * before its final report, its stored report still contains the request as open, although the successor counts the end.
+ * The sum then contains more take-overs than hand-overs. This excess first reduces the number of requests counted as
+ * abandoned by the dead node. If the excess is even larger than the number of requests reported as open, the dead node
+ * never reported the acceptance of the remaining ones. They are then added as accepted, since a take-over proves that
+ * the request was accepted.
  *
  * @example
  * sumsOf(counts).open
@@ -42,7 +48,7 @@
 }
 
 /**
- * Adds sums in place.
+ * Adds sums to `sum` in place.
  *
  * @example
  * addSums(total, sumsOf(cell.counts))
@@ -52,11 +58,11 @@
 }
 
 /**
- * Whether every request asked for is accounted for.
+ * Whether the sums are consistent, so that every received request is accounted for.
  *
  * @example
- * agrees(line.sums) // true
+ * sumsAgree(line.sums) // true
  */
-export function agrees (sums: RequestSums): boolean {
+export function sumsAgree (sums: RequestSums): boolean {
   return sums.asked === sums.served + sums.late + sums.refused + sums.lost + sums.unknown + sums.open
 }
--- a/src/report/tally.ts
+++ b/src/report/tally.ts
@@ -1,4 +1,4 @@
-/** Tallies: counts and latencies by period, class and organisation, in memory and on the wire. */
+/** Tallies: counts and latencies by period, class and organisation, in memory and in their stored form. */
 import * as z from 'zod'
 import { HOUR } from '../clock.js'
 import type { Milliseconds } from '../clock.js'
@@ -9,12 +9,12 @@
 import { addLatencies, decodeLatencies, encodeLatencies, subtractLatencies } from './latency.js'
 import type { Latencies } from './latency.js'
 
-/** Length of a period. A request belongs to the period in which it was accepted or refused. */
+/** Length of a reporting period. A request belongs to the period in which it was accepted or refused. */
 export const PERIOD: Milliseconds = HOUR
 
-/** What a tally is kept for. */
+/** Key of a cell. */
 export interface CellKey {
-  /** Wall time of the start of the period. */
+  /** Wall time of the start of the period, in milliseconds. */
   readonly period: Milliseconds
   readonly class: ClassName
   readonly organisation: OrganisationName
@@ -24,32 +24,33 @@
 export interface Cell {
   readonly key: CellKey
   readonly counts: Counts
-  /** Refusals, before and after acceptance, by their code. */
+  /** Number of refusals before and after acceptance, by failure code. */
   readonly refusals: Map<string, number>
   readonly latencies: Latencies
 }
 
-/** A cell as it is written. */
+/** Stored form of a cell. */
 export const cellSchema = z.object({
   period: z.number().int().nonnegative(),
   class: classNameSchema,
   organisation: organisationNameSchema,
-  /** Counts that are not zero. */
+  /** Non-zero counts. */
   counts: countsSchema.partial(),
   refusals: z.record(z.string(), z.number().int()).default({}),
   latency: z.object({ firstToken: z.string(), betweenTokens: z.string(), wholeAnswer: z.string() }).partial().default({})
 })
-export type WrittenCell = z.infer<typeof cellSchema>
+export type EncodedCell = z.infer<typeof cellSchema>
 
-/** Cells by key. */
+/** Collection of cells by key. */
 export interface Tally {
+  /** Returns the cell of a key, and creates an empty one if there is none. */
   cell (key: CellKey): Cell
   cells (): Iterable<Cell>
   size (): number
 }
 
 /**
- * Start of the period that a wall time falls into.
+ * Returns the start of the period that contains a wall time.
  *
  * @example
  * periodOf(3_600_001) // 3_600_000
@@ -58,14 +59,19 @@
   return Math.floor(wall / PERIOD) * PERIOD
 }
 
-/** @example const tally = createTally() */
+/**
+ * Creates an empty tally.
+ *
+ * @example
+ * const tally = createTally()
+ */
 export function createTally (): Tally {
   const cells = new Map<string, Cell>()
   return {
     cell: (key) => {
-      const name = nameOf(key)
-      const known = cells.get(name)
-      if (known !== undefined) return known
+      const name = cellName(key)
+      const existing = cells.get(name)
+      if (existing !== undefined) return existing
       const created = { key: { period: key.period, class: key.class, organisation: key.organisation }, counts: zeroCounts(), refusals: new Map(), latencies: {} }
       cells.set(name, created)
       return created
@@ -76,54 +82,55 @@
 }
 
 /**
- * Adds written cells to a tally.
+ * Adds stored cells to a tally.
  *
- * @throws Error when a histogram cannot be decoded
+ * @throws Error if a histogram cannot be decoded
  * @example
- * addWritten(total, snapshot.cells)
+ * addEncodedCells(total, snapshot.cells)
  */
-export function addWritten (tally: Tally, written: readonly WrittenCell[]): void {
-  for (const one of written) {
-    const cell = tally.cell(one)
-    addCounts(cell.counts, one.counts)
-    for (const [code, count] of Object.entries(one.refusals)) addRefusals(cell.refusals, code, count)
-    addLatencies(cell.latencies, decodeLatencies(one.latency))
+export function addEncodedCells (tally: Tally, encoded: readonly EncodedCell[]): void {
+  for (const encodedCell of encoded) {
+    const cell = tally.cell(encodedCell)
+    addCounts(cell.counts, encodedCell.counts)
+    for (const [code, count] of Object.entries(encodedCell.refusals)) addRefusals(cell.refusals, code, count)
+    addLatencies(cell.latencies, decodeLatencies(encodedCell.latency))
   }
 }
 
 /**
- * Takes written cells that were counted before out of a tally.
+ * Subtracts stored cells that were counted before from a tally.
  *
+ * @throws Error if a histogram cannot be decoded
  * @example
- * subtractWritten(tally, alreadyFolded.cells)
+ * subtractEncodedCells(tally, alreadyFolded.cells)
  */
-export function subtractWritten (tally: Tally, written: readonly WrittenCell[]): void {
-  for (const one of written) {
-    const cell = tally.cell(one)
-    addCounts(cell.counts, one.counts, -1)
-    for (const [code, count] of Object.entries(one.refusals)) addRefusals(cell.refusals, code, -count)
-    subtractLatencies(cell.latencies, decodeLatencies(one.latency))
+export function subtractEncodedCells (tally: Tally, encoded: readonly EncodedCell[]): void {
+  for (const encodedCell of encoded) {
+    const cell = tally.cell(encodedCell)
+    addCounts(cell.counts, encodedCell.counts, -1)
+    for (const [code, count] of Object.entries(encodedCell.refusals)) addRefusals(cell.refusals, code, -count)
+    subtractLatencies(cell.latencies, decodeLatencies(encodedCell.latency))
   }
 }
 
 /**
- * A tally as it is written: cells that hold anything, zero counts left out.
+ * Converts a tally to its stored form, which omits empty cells and zero counts.
  *
  * @example
- * JSON.stringify(writeTally(tally))
+ * JSON.stringify(encodeTally(tally))
  */
-export function writeTally (tally: Tally): WrittenCell[] {
-  const written: WrittenCell[] = []
+export function encodeTally (tally: Tally): EncodedCell[] {
+  const encoded: EncodedCell[] = []
   for (const { key, counts, refusals, latencies } of tally.cells()) {
     const compact = compactCounts(counts)
     if (Object.keys(compact).length === 0) continue
-    written.push({ ...key, counts: compact, refusals: Object.fromEntries(refusals), latency: encodeLatencies(latencies) })
+    encoded.push({ ...key, counts: compact, refusals: Object.fromEntries(refusals), latency: encodeLatencies(latencies) })
   }
-  return written
+  return encoded
 }
 
 /**
- * Counts refusals of one code.
+ * Adds a number of refusals with one failure code.
  *
  * @example
  * addRefusals(cell.refusals, 'overloaded', 1)
@@ -132,7 +139,7 @@
   refusals.set(code, (refusals.get(code) ?? 0) + count)
 }
 
-/** Names contain neither a slash nor a space, so the parts cannot run into each other. */
-function nameOf (key: CellKey): string {
+/** Unique name of a cell. Class and organisation names contain no slash, so no two keys have the same name. */
+function cellName (key: CellKey): string {
   return `${key.period}/${key.class}/${key.organisation}`
 }
--- a/src/report/total.ts
+++ b/src/report/total.ts
@@ -1,71 +1,72 @@
 /**
- * Totals of the epochs that were folded. A total holds one period and one part of the counts, and
- * the names of the epochs that are in it: adding an epoch and its name is one write, so an epoch is
- * counted once whatever becomes of replies, processes and leases.
+ * Totals: the sums of folded epochs. To fold an epoch is to add its counts to the totals. A total contains one part of
+ * the counts of one period, and the names of the epochs that it includes. The counts of an epoch and its name are added
+ * in a single write. Each epoch is therefore counted exactly once, even if responses are lost, processes crash, or two
+ * processes fold at the same time.
  */
 import * as z from 'zod'
 import type { Milliseconds } from '../clock.js'
 import { classNameSchema, incarnationSchema, instanceNameSchema } from '../identifiers.js'
 import { readJson } from '../json.js'
-import { deathNoteSchema, sumDeathNotes } from './death.js'
+import { deathRecordSchema, sumDeathRecords } from './death.js'
 import type { Spend } from './ledger.js'
 import { endsIncarnation, snapshotName, spendSchema } from './snapshot.js'
 import type { Snapshot } from './snapshot.js'
-import { addWritten, cellSchema, createTally, periodOf, writeTally } from './tally.js'
-import type { Tally, WrittenCell } from './tally.js'
+import { addEncodedCells, cellSchema, createTally, encodeTally, periodOf } from './tally.js'
+import type { EncodedCell, Tally } from './tally.js'
 
-/** Part of a total that holds what belongs to no class: spend and gaps. No class can have this name. */
+/** Part of a total for data without a class, such as spend and gaps. No class can have this name. */
 export const COMMON_PART = '_common'
 
 const partSchema = z.union([classNameSchema, z.literal(COMMON_PART)])
 export type TotalPart = z.infer<typeof partSchema>
 
-/** Counts of a node after its last snapshot are unknown: it died without a last word. */
+/** Stored form of a gap: a node died without a final report, so its counts after its last snapshot are unknown. */
 export const gapSchema = z.strictObject({
   incarnation: incarnationSchema,
   instance: instanceNameSchema,
   epoch: z.number().int().positive(),
   /** Wall time of the last snapshot. */
   from: z.number(),
-  /** Wall time at which the node was known to be gone. */
+  /** Wall time at which the node was given up. */
   to: z.number()
 })
 export type Gap = z.infer<typeof gapSchema>
 
-/** A gap that is none: the node lived and reported on. */
-export const returnSchema = z.strictObject({ incarnation: incarnationSchema, epoch: z.number().int().positive() })
-export type Return = z.infer<typeof returnSchema>
+/** Stored form of a revoked gap: the node was given up, but turned out to be alive and reported its counts later. */
+export const revokedGapSchema = z.strictObject({ incarnation: incarnationSchema, epoch: z.number().int().positive() })
+export type RevokedGap = z.infer<typeof revokedGapSchema>
 
-/** One part of the counts of one period, with the epochs that are in it. */
+/** Stored form of a total: one part of the counts of one period, and the epochs included in it. */
 export const totalSchema = z.strictObject({
   format: z.literal(1),
   period: z.number().int().nonnegative(),
   part: partSchema,
-  /** Epochs that are counted in, by name and last sequence number. */
+  /** Included epochs, each with the sequence number of the snapshot that was folded. */
   folded: z.array(z.strictObject({ name: z.string(), sequence: z.number().int().positive() })),
   cells: z.array(cellSchema),
   spend: z.array(spendSchema),
   gaps: z.array(gapSchema),
-  returns: z.array(returnSchema),
-  deaths: z.array(deathNoteSchema).default([]),
-  /** Incarnations that left histograms out. */
+  returns: z.array(revokedGapSchema),
+  deaths: z.array(deathRecordSchema).default([]),
+  /** Incarnations whose snapshots omitted histograms. */
   latencyOmitted: z.array(incarnationSchema)
 })
 export type Total = z.infer<typeof totalSchema>
 
-/** A total that an epoch goes into. */
+/** Key of a total. */
 export interface TotalKey {
   readonly period: Milliseconds
   readonly part: TotalPart
 }
 
 /**
- * Totals that closed snapshots go into.
+ * Returns the keys of the totals that closed snapshots must be folded into.
  *
  * @example
- * for (const key of totalsOf(snapshots)) await fold(key, snapshots)
+ * for (const key of totalKeysOf(snapshots)) await fold(key, snapshots)
  */
-export function totalsOf (snapshots: readonly Snapshot[]): TotalKey[] {
+export function totalKeysOf (snapshots: readonly Snapshot[]): TotalKey[] {
   const keys = new Map<string, TotalKey>()
   const add = (period: Milliseconds, part: TotalPart): void => {
     keys.set(`${period}/${part}`, { period, part })
@@ -81,45 +82,45 @@
 }
 
 /**
- * Adds closed snapshots to a total. Those that are in it already change nothing.
+ * Folds closed snapshots into a total. Snapshots that the total already includes are ignored.
  *
- * @param total the stored one, or undefined for the first
- * @returns the new total, or undefined when there is nothing to add
+ * @param total stored total, or undefined if there is none yet
+ * @returns the new total, or undefined if there is nothing to add
  * @example
  * const next = foldInto(stored, key, snapshots)
  */
 export function foldInto (total: Total | undefined, key: TotalKey, snapshots: readonly Snapshot[]): Total | undefined {
   const base = total ?? emptyTotal(key)
-  const known = new Set(base.folded.map((folded) => folded.name))
-  const added = snapshots.filter((snapshot) => !known.has(snapshotName(snapshot)) && concerns(snapshot, key))
+  const foldedNames = new Set(base.folded.map((folded) => folded.name))
+  const added = snapshots.filter((snapshot) => !foldedNames.has(snapshotName(snapshot)) && contributesTo(snapshot, key))
   if (added.length === 0) return undefined
   const tally = createTally()
-  addWritten(tally, base.cells)
-  for (const snapshot of added) addWritten(tally, cellsIn(snapshot, key))
+  addEncodedCells(tally, base.cells)
+  for (const snapshot of added) addEncodedCells(tally, cellsIn(snapshot, key))
   return {
     ...base,
     folded: [...base.folded, ...added.map((snapshot) => ({ name: snapshotName(snapshot), sequence: snapshot.sequence }))],
-    cells: writeTally(tally),
-    ...(key.part === COMMON_PART ? commonOf(base, key, added) : {})
+    cells: encodeTally(tally),
+    ...(key.part === COMMON_PART ? mergeCommonPart(base, key, added) : {})
   }
 }
 
 /**
- * Cells of a snapshot as they count once it is closed: what was open at a node that is gone is
- * abandoned.
+ * Returns the cells that a snapshot contributes to totals and reports. If the incarnation has ended, its open requests
+ * are counted as abandoned.
  *
  * @example
  * addWritten(tally, cellsOf(snapshot))
  */
-export function cellsOf (snapshot: Snapshot): WrittenCell[] {
+export function cellsOf (snapshot: Snapshot): EncodedCell[] {
   if (!endsIncarnation(snapshot.state)) return snapshot.cells
   const tally: Tally = createTally()
   for (const open of snapshot.open) tally.cell(open).counts.abandoned += open.open
-  return [...snapshot.cells, ...writeTally(tally)]
+  return [...snapshot.cells, ...encodeTally(tally)]
 }
 
 /**
- * The gap that a snapshot tells of.
+ * Returns the gap after a snapshot.
  *
  * @returns undefined unless the node was given up
  * @example
@@ -132,7 +133,9 @@
 }
 
 /**
- * @returns undefined for a text that is no total
+ * Decodes a total.
+ *
+ * @returns the total, or undefined if the text is not a valid one
  * @example
  * const total = decodeTotal(entry.value)
  */
@@ -144,40 +147,40 @@
   return { format: 1, period: key.period, part: key.part, folded: [], cells: [], spend: [], gaps: [], returns: [], deaths: [], latencyOmitted: [] }
 }
 
-function concerns (snapshot: Snapshot, key: TotalKey): boolean {
-  return totalsOf([snapshot]).some((one) => one.period === key.period && one.part === key.part)
+function contributesTo (snapshot: Snapshot, key: TotalKey): boolean {
+  return totalKeysOf([snapshot]).some((candidate) => candidate.period === key.period && candidate.part === key.part)
 }
 
-function cellsIn (snapshot: Snapshot, key: TotalKey): WrittenCell[] {
+function cellsIn (snapshot: Snapshot, key: TotalKey): EncodedCell[] {
   return cellsOf(snapshot).filter((cell) => cell.period === key.period && cell.class === key.part)
 }
 
-function commonOf (base: Total, key: TotalKey, added: readonly Snapshot[]): Pick<Total, 'spend' | 'gaps' | 'returns' | 'deaths' | 'latencyOmitted'> {
-  const here = (snapshot: Snapshot): boolean => periodOf(snapshot.writtenAt) === key.period
-  const spend = added.flatMap((snapshot) => snapshot.spend.filter((one) => one.period === key.period))
-  const gaps = added.filter(here).flatMap((snapshot) => gapOf(snapshot) ?? [])
-  const returns = added.flatMap((snapshot) => returnsIn(snapshot, key))
-  const deaths = added.flatMap((snapshot) => snapshot.deaths.filter((one) => one.period === key.period))
-  const omitted = added.filter((snapshot) => here(snapshot) && snapshot.latencyOmitted).map((snapshot) => snapshot.incarnation)
+function mergeCommonPart (base: Total, key: TotalKey, added: readonly Snapshot[]): Pick<Total, 'spend' | 'gaps' | 'returns' | 'deaths' | 'latencyOmitted'> {
+  const isWrittenInPeriod = (snapshot: Snapshot): boolean => periodOf(snapshot.writtenAt) === key.period
+  const spend = added.flatMap((snapshot) => snapshot.spend.filter((item) => item.period === key.period))
+  const gaps = added.filter(isWrittenInPeriod).flatMap((snapshot) => gapOf(snapshot) ?? [])
+  const returns = added.flatMap((snapshot) => revokedGapsIn(snapshot, key))
+  const deaths = added.flatMap((snapshot) => snapshot.deaths.filter((record) => record.period === key.period))
+  const omitted = added.filter((snapshot) => isWrittenInPeriod(snapshot) && snapshot.latencyOmitted).map((snapshot) => snapshot.incarnation)
   return {
     spend: sumSpend([...base.spend, ...spend]),
     gaps: [...base.gaps, ...gaps],
     returns: [...base.returns, ...returns],
-    deaths: sumDeathNotes([...base.deaths, ...deaths]),
+    deaths: sumDeathRecords([...base.deaths, ...deaths]),
     latencyOmitted: [...new Set([...base.latencyOmitted, ...omitted])]
   }
 }
 
-function returnsIn (snapshot: Snapshot, key: TotalKey): Return[] {
+function revokedGapsIn (snapshot: Snapshot, key: TotalKey): RevokedGap[] {
   const { incarnation, returned } = snapshot
   return returned?.period === key.period ? [{ incarnation, epoch: returned.epoch }] : []
 }
 
 function sumSpend (spend: readonly Spend[]): Spend[] {
   const sums = new Map<string, Spend>()
-  for (const one of spend) {
-    const name = `${one.period}/${one.service}`
-    sums.set(name, { ...one, amount: one.amount + (sums.get(name)?.amount ?? 0) })
+  for (const item of spend) {
+    const name = `${item.period}/${item.service}`
+    sums.set(name, { ...item, amount: item.amount + (sums.get(name)?.amount ?? 0) })
   }
   return [...sums.values()]
 }
--- a/src/report/wording.ts
+++ b/src/report/wording.ts
@@ -1,8 +1,9 @@
-/** How figures of a report read: one way for the table, the page and the sentences. */
+/** Formatting of the figures of a report. Tables, the report page and sentences share it, so that all of them agree. */
 import type { Milliseconds } from '../clock.js'
 
 const THOUSANDS = /\B(?=(\d{3})+(?!\d))/g
 
+/** Reasons of refusals by failure code. */
 const REFUSALS: Readonly<Record<string, string>> = {
   overloaded: 'too busy to meet the target',
   'organisation-limit': 'over the organisation\'s limit',
@@ -15,6 +16,8 @@
 }
 
 /**
+ * Formats a count with thousands separators.
+ *
  * @example
  * countText(12345) // '12,345'
  */
@@ -23,6 +26,8 @@
 }
 
 /**
+ * Formats a number of requests.
+ *
  * @example
  * requestsText(1) // '1 request'
  */
@@ -31,6 +36,8 @@
 }
 
 /**
+ * Formats a duration in ms, s or min.
+ *
  * @example
  * durationText(1_530) // '1.53 s'
  */
@@ -42,7 +49,7 @@
 }
 
 /**
- * Percentage that never rounds up to 100 while anything is missing.
+ * Formats a fraction as a percentage. A fraction below 1 is never rounded up to 100%.
  *
  * @example
  * percentText(0.99996) // '99.99%'
@@ -53,6 +60,8 @@
 }
 
 /**
+ * Formats an amount of money. Amounts of 100 and more are rounded to whole units.
+ *
  * @example
  * moneyText(3.14159) // '3.14'
  */
@@ -61,6 +70,8 @@
 }
 
 /**
+ * Formats a wall time in UTC, to the second.
+ *
  * @example
  * timeText(0) // '1970-01-01 00:00:00 UTC'
  */
@@ -69,6 +80,8 @@
 }
 
 /**
+ * Describes a failure code as the reason of a refusal. Unknown codes are returned unchanged.
+ *
  * @example
  * refusalText('overloaded') // 'too busy to meet the target'
  */
--- a/src/request/retry.ts
+++ b/src/request/retry.ts
@@ -8,7 +8,7 @@
 import { SECOND } from '../clock.js'
 import type { ClassName } from '../identifiers.js'
 import type { Random } from '../random.js'
-import { mayRepeat } from '../verdict.js'
+import { isRetrySafe } from '../verdict.js'
 import type { FailureCode, Verdict } from '../verdict.js'
 
 /** A failed attempt. */
@@ -92,7 +92,7 @@
   const budget = (requestClass: ClassName): number => budgets.get(requestClass) ?? burst
 
   function giveUpReason (failed: FailedAttempt): GiveUpReason | undefined {
-    if (!mayRepeat(failed.verdict, failed.idempotent)) return 'may-have-run'
+    if (!isRetrySafe(failed.verdict, failed.idempotent)) return 'may-have-run'
     if (failed.cause === 'leaving') return undefined
     if (NON_RETRYABLE_CODES.has(failed.code)) return 'not-retryable'
     if (failed.attempt >= maxAttempts) return 'attempts-used'
--- a/src/revision.ts
+++ b/src/revision.ts
@@ -1,37 +1,44 @@
 /**
- * Revisions over the epochs of a key-value service, as single numbers that always rise.
+ * Revisions that increase across the epochs of a key-value service, each as a single number.
  *
- * Failure guarded against: a service that comes back from a backup gives revisions out again. A number would stand for
- * two changes, a later change would look older than an earlier one, and a fencing number would fall. The epoch goes
- * before the revision.
+ * Failure guarded against: a service that is restored from a backup assigns the same revisions a second time. One
+ * revision would identify two changes, a later change would look older than an earlier one, and fencing numbers would
+ * decrease. Each restore starts a new epoch, and the epoch forms the high-order part of the number.
  */
 
-/** Revisions of one epoch: 34 years of a thousand changes a second; 8,000 epochs fit beside them into a safe integer. */
-const REVISIONS_OF_EPOCH = 2 ** 40
+/**
+ * Number of revisions available per epoch. It lasts 34 years at a thousand changes per second, and leaves room for
+ * 8,000 epochs in a safe integer.
+ */
+const REVISIONS_PER_EPOCH = 2 ** 40
 
 /**
- * @param revision the service's own, within the epoch
+ * Combines an epoch with a revision of the service.
+ *
+ * @param revision revision that the service assigned within the epoch
  * @example
- * revisionIn(2, 17) > revisionIn(1, 1_000_000) // true
+ * revisionOfEpoch(2, 17) > revisionOfEpoch(1, 1_000_000) // true
  */
-export function revisionIn (epoch: number, revision: number): number {
-  return epoch * REVISIONS_OF_EPOCH + revision
+export function revisionOfEpoch (epoch: number, revision: number): number {
+  return epoch * REVISIONS_PER_EPOCH + revision
 }
 
 /**
+ * Returns the epoch of a combined revision.
+ *
  * @example
- * epochOf(revisionIn(2, 17)) // 2
+ * epochOf(revisionOfEpoch(2, 17)) // 2
  */
 export function epochOf (revision: number): number {
-  return Math.floor(revision / REVISIONS_OF_EPOCH)
+  return Math.floor(revision / REVISIONS_PER_EPOCH)
 }
 
 /**
- * The service's own number.
+ * Returns the revision that the service assigned, without the epoch.
  *
  * @example
- * withinEpoch(revisionIn(2, 17)) // 17
+ * revisionWithinEpoch(revisionOfEpoch(2, 17)) // 17
  */
-export function withinEpoch (revision: number): number {
-  return revision % REVISIONS_OF_EPOCH
+export function revisionWithinEpoch (revision: number): number {
+  return revision % REVISIONS_PER_EPOCH
 }
--- a/src/settings.ts
+++ b/src/settings.ts
@@ -1,6 +1,7 @@
 /**
- * Settings of a process: a TOML file, checked before anything starts. They say where the process
- * is and whom it talks to; what operators want of the system is configuration, not settings.
+ * Settings of a process, read from a TOML file and validated before the process starts. Settings state where the
+ * process runs and which addresses it connects to. What operators require of the whole system, such as targets and
+ * limits, is part of the configuration instead.
  */
 import { readFileSync } from 'node:fs'
 import { parse, TomlError } from 'smol-toml'
@@ -8,9 +9,9 @@
 import { addressSchema, failureDomainSchema, instanceNameSchema } from './identifiers.js'
 import { ServingError } from './verdict.js'
 
-const levelSchema = z.enum(['trace', 'debug', 'info', 'warn', 'error', 'silent'])
+const logLevelSchema = z.enum(['trace', 'debug', 'info', 'warn', 'error', 'silent'])
 
-/** Where the platform's services answer. */
+/** Addresses of the services of the platform. */
 export const platformSettingsSchema = z.strictObject({
   key_value: z.array(addressSchema).min(1),
   instance_list: addressSchema,
@@ -18,7 +19,7 @@
   weight_store: addressSchema.optional()
 })
 
-/** Limits against hostile or broken callers. */
+/** Limits that protect the process from hostile or faulty callers. */
 export const limitSettingsSchema = z.strictObject({
   body_bytes: z.number().int().positive().default(1_048_576),
   header_bytes: z.number().int().positive().default(16_384),
@@ -27,9 +28,12 @@
   request_timeout_ms: z.number().int().positive().default(30_000)
 })
 
-/** How long answers to callers stay valid, and how long a planned stop serves on. */
+/** Validity of the node addresses given to callers. It is also the minimum duration of a planned stop. */
 export const addressSettingsSchema = z.strictObject({
-  /** Lifetime of an address answer. A planned stop lasts at least this long. */
+  /**
+   * Time for which callers may use the addresses that they received. A planned stop serves requests for at least as
+   * long, so that no caller uses the address of a node that has ended.
+   */
   lifetime_ms: z.number().int().positive().default(10_000)
 })
 
@@ -37,16 +41,16 @@
 export const entrySettingsSchema = z.strictObject({
   instance: instanceNameSchema,
   failure_domain: failureDomainSchema,
-  /** Address callers and operators connect to. */
+  /** Address that callers and operators connect to. */
   listen: addressSchema,
-  /** Address peers connect to. */
+  /** Address that peer nodes connect to. */
   peer_listen: addressSchema,
-  log_level: levelSchema.default('info'),
-  /** Hex SHA-256 of the operators' bearer key. */
+  log_level: logLevelSchema.default('info'),
+  /** SHA-256 hash of the operators' bearer key, in hexadecimal. */
   operator_key_sha256: z.string().regex(/^[0-9a-f]{64}$/),
-  /** Shared secret of the system's own processes. */
+  /** Secret that the processes of the system share to authenticate to each other. */
   peer_key: z.string().min(16),
-  /** OTLP/HTTP address of a trace collector; none: spans stay in memory. */
+  /** OTLP/HTTP URL of a trace collector. If missing, spans are kept in memory only. */
   trace_collector: z.url().optional(),
   platform: platformSettingsSchema,
   limits: limitSettingsSchema.prefault({}),
@@ -55,65 +59,66 @@
 export type EntrySettings = z.infer<typeof entrySettingsSchema>
 
 /**
- * Parses and checks a settings text.
+ * Parses and validates a settings text.
  *
  * @param text TOML
- * @param origin file name for messages
- * @throws ServingError `invalid-request` that names the line or the path of the wrong key
+ * @param fileName shown in error messages
+ * @throws ServingError `invalid-request`. Its message states the line, or the path of each invalid key.
  * @example
  * parseSettings(entrySettingsSchema, text, 'entry.toml')
  */
-export function parseSettings<T> (schema: z.ZodType<T>, text: string, origin: string): T {
-  const result = schema.safeParse(parseToml(text, origin))
+export function parseSettings<T> (schema: z.ZodType<T>, text: string, fileName: string): T {
+  const result = schema.safeParse(parseToml(text, fileName))
   if (result.success) return result.data
   const problems = result.error.issues.map(describeIssue)
-  throw invalid(`${origin}: ${problems.join('; ')}`)
+  throw settingsError(`${fileName}: ${problems.join('; ')}`)
 }
 
 /**
- * Reads, parses and checks a settings file.
+ * Reads, parses and validates a settings file.
  *
- * @throws ServingError `invalid-request` when it cannot be read or does not pass the check
+ * @throws ServingError `invalid-request` if the file cannot be read or is not valid
  * @example
  * const settings = loadSettings(entrySettingsSchema, 'settings/entry-1.toml')
  */
 export function loadSettings<T> (schema: z.ZodType<T>, path: string): T {
-  return parseSettings(schema, readText(path), path)
+  return parseSettings(schema, readTextFile(path), path)
 }
 
 /**
- * Reads a text file for a command, with a clear error.
+ * Reads a text file.
  *
- * @throws ServingError `invalid-request`
+ * @throws ServingError `invalid-request` if the file cannot be read. Its message states the path and the cause.
  * @example
- * const text = readText('configuration.toml')
+ * const text = readTextFile('configuration.toml')
  */
-export function readText (path: string): string {
+export function readTextFile (path: string): string {
   try {
     return readFileSync(path, 'utf8')
   } catch (cause) {
-    throw invalid(`${path}: cannot be read: ${(cause as Error).message}`)
+    throw settingsError(`${path}: cannot be read: ${(cause as Error).message}`)
   }
 }
 
 /**
- * Parses TOML with a message that names the line.
+ * Parses a TOML text.
  *
- * @throws ServingError `invalid-request`
+ * @param fileName shown in error messages
+ * @throws ServingError `invalid-request`. Its message states the line and column of the syntax error.
  * @example
  * parseToml('a = 1', 'settings.toml') // { a: 1 }
  */
-export function parseToml (text: string, origin: string): unknown {
+export function parseToml (text: string, fileName: string): unknown {
   try {
     return parse(text)
   } catch (cause) {
-    if (cause instanceof TomlError) throw invalid(`${origin}:${cause.line}:${cause.column}: ${cause.message.split('\n')[0]}`)
+    if (cause instanceof TomlError) throw settingsError(`${fileName}:${cause.line}:${cause.column}: ${cause.message.split('\n')[0]}`)
     throw cause
   }
 }
 
 /**
- * One problem found by a schema, as a person reads it.
+ * Formats a validation issue of a schema as a readable text.
  *
  * @example
  * describeIssue(issue) // "limits.body_bytes: expected number, received string"
@@ -124,6 +129,6 @@
   return `${path}: ${issue.message}`
 }
 
-function invalid (message: string): ServingError {
+function settingsError (message: string): ServingError {
   return new ServingError(message, { code: 'invalid-request', verdict: 'not-run' })
 }
--- a/src/tracing.ts
+++ b/src/tracing.ts
@@ -1,6 +1,6 @@
 /**
- * Spans of one process by OpenTelemetry, tied together by the W3C trace context
- * (https://www.w3.org/TR/trace-context/). They are exported only when settings name a collector.
+ * OpenTelemetry tracing of one process. Spans are linked across processes by the W3C trace context
+ * (https://www.w3.org/TR/trace-context/). They are exported only if the settings name a trace collector.
  */
 import { ROOT_CONTEXT, SpanStatusCode, trace } from '@opentelemetry/api'
 import type { Attributes, Context } from '@opentelemetry/api'
@@ -10,47 +10,54 @@
 import type { ReadableSpan, SpanProcessor } from '@opentelemetry/sdk-trace-node'
 import { ATTR_SERVICE_NAME } from '@opentelemetry/semantic-conventions'
 
-/** A span that has begun. */
+/** A started span. */
 export interface TraceSpan {
-  /** What the next hop is given. */
+  /** `traceparent` header to be sent to the next hop. */
   readonly traceparent: string
+  /** Sets the status of the span to error. */
   fail (message: string): void
   end (): void
 }
 
-/** Spans of a process. */
+/** Tracer of a process. */
 export interface Tracing {
   /**
-   * @param parent traceparent of the hop before; a new trace begins when it is missing or malformed
+   * Starts a span.
+   *
+   * @param parent `traceparent` header of the previous hop. A new trace is started if it is missing or malformed.
    */
   start (name: string, parent: string | undefined, attributes: Attributes): TraceSpan
-  /** The latest spans that ended, oldest first. */
+  /** The most recently ended spans, oldest first. */
   recent (): readonly ReadableSpan[]
+  /** Exports the remaining spans and stops tracing. */
   close (): Promise<void>
 }
 
 const TRACEPARENT = /^00-([0-9a-f]{32})-([0-9a-f]{16})-([0-9a-f]{2})$/
-const NO_TRACE = '0'.repeat(32)
-const NO_SPAN = '0'.repeat(16)
+const INVALID_TRACE_ID = '0'.repeat(32)
+const INVALID_SPAN_ID = '0'.repeat(16)
 
-/** Spans kept in memory. */
-const MOST_SPANS = 512
+/** Maximum number of ended spans kept in memory. */
+const MAX_SPANS = 512
 
 /**
- * @param collector OTLP/HTTP address; none: spans only stay in memory, the latest {@link MOST_SPANS}
+ * Creates the tracer of a process. The latest {@link MAX_SPANS} ended spans are kept in memory.
+ *
+ * @param serviceName service name attached to all spans
+ * @param collector OTLP/HTTP URL to which spans are exported. Undefined if spans are not to be exported.
  * @example
  * const span = createTracing('entry-1', undefined).start('attempt', request.headers.traceparent, {})
  */
-export function createTracing (source: string, collector: string | undefined): Tracing {
+export function createTracing (serviceName: string, collector: string | undefined): Tracing {
   const memory = createSpanMemory()
   const provider = new NodeTracerProvider({
-    resource: resourceFromAttributes({ [ATTR_SERVICE_NAME]: source }),
+    resource: resourceFromAttributes({ [ATTR_SERVICE_NAME]: serviceName }),
     spanProcessors: [memory.processor, ...(collector === undefined ? [] : [new BatchSpanProcessor(new OTLPTraceExporter({ url: collector }))])]
   })
   const tracer = provider.getTracer('hornbeamgap')
   return {
     start: (name, parent, attributes) => {
-      const span = tracer.startSpan(name, { attributes }, contextOf(parent))
+      const span = tracer.startSpan(name, { attributes }, parentContextOf(parent))
       const { traceId, spanId, traceFlags } = span.spanContext()
       return {
         traceparent: `00-${traceId}-${spanId}-${traceFlags.toString(16).padStart(2, '0')}`,
@@ -63,27 +70,27 @@
   }
 }
 
-/** A malformed header begins a new trace, as the specification says. */
-function contextOf (traceparent: string | undefined): Context {
+/** Context of the parent span. A malformed header starts a new trace, as the specification requires. */
+function parentContextOf (traceparent: string | undefined): Context {
   const [, traceId, spanId, flags] = TRACEPARENT.exec(traceparent ?? '') ?? []
   if (traceId === undefined || spanId === undefined || flags === undefined) return ROOT_CONTEXT
-  if (traceId === NO_TRACE || spanId === NO_SPAN) return ROOT_CONTEXT
+  if (traceId === INVALID_TRACE_ID || spanId === INVALID_SPAN_ID) return ROOT_CONTEXT
   return trace.setSpanContext(ROOT_CONTEXT, { traceId, spanId, traceFlags: Number.parseInt(flags, 16) & 1, isRemote: true })
 }
 
 function createSpanMemory (): { processor: SpanProcessor, spans: () => ReadableSpan[] } {
   const ring: ReadableSpan[] = []
-  let next = 0
+  let endedSpans = 0
   return {
     processor: {
       onStart: () => {},
       onEnd: (span) => {
-        ring[next % MOST_SPANS] = span
-        next += 1
+        ring[endedSpans % MAX_SPANS] = span
+        endedSpans += 1
       },
       forceFlush: async () => {},
       shutdown: async () => {}
     },
-    spans: () => next <= MOST_SPANS ? [...ring] : [...ring.slice(next % MOST_SPANS), ...ring.slice(0, next % MOST_SPANS)]
+    spans: () => endedSpans <= MAX_SPANS ? [...ring] : [...ring.slice(endedSpans % MAX_SPANS), ...ring.slice(0, endedSpans % MAX_SPANS)]
   }
 }
--- a/src/verdict.ts
+++ b/src/verdict.ts
@@ -1,28 +1,30 @@
 /**
- * Whether a request may have run, and the errors that carry this verdict.
+ * Verdicts on whether a failed request may have run, and the errors that carry a verdict.
  *
- * The verdict decides retries and is told to the caller in the body and in a header. `not-run` is
- * used only where it is proven; whatever cannot be proven is `may-have-run`.
+ * The verdict decides whether an attempt may be retried, and is returned to the caller in the response body and in a
+ * header. `not-run` is used only if it is proven. Everything that cannot be proven is `may-have-run`.
  */
 import ModernError from 'modern-errors'
 import type { InstanceOptions } from 'modern-errors'
 import type { Milliseconds } from './clock.js'
 
 /**
+ * Whether a failed request has run.
+ *
  * - `not-run`: proven not to have started at any upstream.
- * - `may-have-run`: sent, outcome unknown.
- * - `ran`: an upstream is known to have run it, whole or in part.
+ * - `may-have-run`: dispatched, and the outcome is unknown.
+ * - `ran`: an upstream is known to have run the request, completely or in part.
  */
 export type Verdict = 'not-run' | 'may-have-run' | 'ran'
 
-/** Machine-readable reason of a failure; the HTTP status follows from it. */
+/** Machine-readable reason of a failure. It determines the HTTP status. */
 export type FailureCode =
   | 'invalid-request'
   | 'unauthenticated'
   | 'forbidden'
   | 'not-found'
   | 'conflict'
-  /** The request ran and was answered; its answer is no longer kept. */
+  /** The request ran and was answered, but the stored answer has expired. */
   | 'gone'
   | 'too-large'
   | 'header-too-large'
@@ -43,20 +45,20 @@
   | 'outcome-unknown'
   | 'internal'
 
-/** What a {@link ServingError} is made of. */
+/** Options of a {@link ServingError}. */
 export interface FailureOptions {
   code: FailureCode
   verdict: Verdict
-  /** Earliest sensible next attempt, in milliseconds from now. */
+  /** Time until a retry may succeed, in milliseconds from now. */
   retryAfter?: Milliseconds
   cause?: unknown
 }
 
-/** A failure that says whether the request may have run. */
+/** Failure of a request, with a verdict on whether the request may have run. */
 export interface ServingError extends Error {
   readonly code: FailureCode
   readonly verdict: Verdict
-  /** Earliest sensible next attempt, in milliseconds from now. */
+  /** Time until a retry may succeed, in milliseconds from now. Undefined if unknown. */
   readonly retryAfter: Milliseconds | undefined
 }
 
@@ -78,10 +80,10 @@
   }
 })
 
-/** Class of {@link ServingError}; its options are required, unlike those of its base. */
+/** Class of {@link ServingError}. Its options are required, unlike those of the base class. */
 export const ServingError = ServingErrorClass as unknown as ServingErrorConstructor
 
-const STATUS: Record<FailureCode, number> = {
+const HTTP_STATUS: Record<FailureCode, number> = {
   'invalid-request': 400,
   unauthenticated: 401,
   forbidden: 403,
@@ -109,37 +111,38 @@
 }
 
 /**
- * HTTP status that tells a caller about a failure.
+ * Returns the HTTP status for a failure code.
  *
  * @example
- * statusOf('organisation-limit') // 429
+ * httpStatusOf('organisation-limit') // 429
  */
-export function statusOf (code: FailureCode): number {
-  return STATUS[code]
+export function httpStatusOf (code: FailureCode): number {
+  return HTTP_STATUS[code]
 }
 
 /**
- * Turns anything thrown into a {@link ServingError}. What is not one already is reported with the
- * given verdict, since nothing is known about it.
+ * Converts any thrown value to a {@link ServingError}. Other errors become `internal` failures with the given verdict,
+ * since they carry none of their own.
  *
- * @param fallback verdict for foreign errors; pass `not-run` only before anything was sent
+ * @param fallback verdict for errors of other types. Pass `not-run` only if nothing has been dispatched yet.
  * @example
  * const failure = toServingError(error, 'may-have-run')
  */
 export function toServingError (error: unknown, fallback: Verdict): ServingError {
   if (error instanceof ServingError) return error
   if (!(error instanceof Error)) return new ServingError(String(error), { code: 'internal', verdict: fallback })
-  // The cause's message becomes part of the new one, so there is none to repeat.
+  // ModernError adds the message of the cause to the new message, so the new error needs none of its own.
   return new ServingError('', { code: 'internal', verdict: fallback, cause: error })
 }
 
 /**
- * Whether a failed attempt may be sent again without breaking at-most-once semantics.
+ * Whether a failed attempt may be retried without violating at-most-once semantics.
  *
+ * @param idempotent whether running the request twice has the same effect as running it once
  * @example
- * mayRepeat('may-have-run', false) // false: a booking that may have run is never sent again
+ * isRetrySafe('may-have-run', false) // false: a booking that may have run is never sent again
  */
-export function mayRepeat (verdict: Verdict, idempotent: boolean): boolean {
+export function isRetrySafe (verdict: Verdict, idempotent: boolean): boolean {
   switch (verdict) {
     case 'not-run': return true
     case 'may-have-run': return idempotent
--- a/src/version.ts
+++ b/src/version.ts
@@ -1,2 +1,2 @@
-/** Version of the package, told by `--version` and by status answers. */
+/** Version of the package, shown by `--version` and in status responses. */
 export const VERSION = '0.1.0'
--- a/stand-ins/sample.ts
+++ b/stand-ins/sample.ts
@@ -7,7 +7,7 @@
 import { plannerSettingsSchema } from '../src/planner/settings.js'
 import type { PlannerSettings } from '../src/planner/settings.js'
 import { chatMessageSchema, plainCallSchema } from '../src/request/index.js'
-import { describeIssue, entrySettingsSchema, loadSettings, readText } from '../src/settings.js'
+import { describeIssue, entrySettingsSchema, loadSettings, readTextFile } from '../src/settings.js'
 import type { EntrySettings } from '../src/settings.js'
 import { ServingError } from '../src/verdict.js'
 import { platformSampleSchema } from './platform-sample.js'
@@ -63,7 +63,7 @@
   const keys = loadSettings(keysSchema, join(folder, 'keys.toml'))
   return {
     folder,
-    configuration: readText(join(folder, 'configuration.toml')),
+    configuration: readTextFile(join(folder, 'configuration.toml')),
     platform: loadSettings(platformSampleSchema, join(folder, 'platform.toml')),
     entries: files(folder, ENTRY_FILE).map((path) => loadSettings(entrySettingsSchema, path)),
     planners: files(folder, PLANNER_FILE).map((path) => loadSettings(plannerSettingsSchema, path)),
@@ -81,7 +81,7 @@
  * loadRequests('samples/calcaria-lisbon/requests/bookings.jsonl').length // 40
  */
 export function loadRequests (path: string): SampleRequest[] {
-  const lines = readText(path).split('\n').filter((line) => line !== '')
+  const lines = readTextFile(path).split('\n').filter((line) => line !== '')
   return lines.map((line, index) => parseLine(line, `${path}:${index + 1}`))
 }
 
